--- a/src/membership/daemon_entry.cc
+++ b/src/membership/daemon_entry.cc
@@ -1,4 +1,5 @@
-// Words with blanks between; a list has a line for each daemon.
+// An entry is a line of fields separated by spaces; a list of followers has one
+// such line per daemon.
 
 #include "src/membership/daemon_entry.h"
 
@@ -11,14 +12,14 @@
 
 namespace {
 
-// For a daemon that takes no requests from others.
+// Placeholder for a daemon without a query address.
 constexpr std::string_view kNoAddress = "-";
-// More of a core than any VM has is not a daemon's word.
+// Values above this are more cores than any VM has and are ignored.
 constexpr double kMostCores = 1'000.0;
-// Names longer than this are not a daemon's.
+// Entries with longer names are rejected.
 constexpr std::size_t kLongestName = 150;
 
-// Whether a peer can be called there.
+// Whether the text has the form "host:port".
 bool IsAddress(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0 || colon + 1 == text.size()) {
--- a/src/membership/daemon_entry.h
+++ b/src/membership/daemon_entry.h
@@ -1,4 +1,5 @@
-// What daemons write of themselves and of their followers into the store.
+// Encoding of the entries that daemons write into the store about themselves
+// and about their followers.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_DAEMON_ENTRY_H_
 #define MEDLARSPREAD_MEMBERSHIP_DAEMON_ENTRY_H_
@@ -12,25 +13,26 @@
 
 namespace medlarspread::membership {
 
-// Before the name of a daemon in the key of its entry.
+// Key prefix of a daemon's entry; the daemon's name follows.
 constexpr std::string_view kDaemonKeyPrefix = "daemons/";
-// Before the name of a reader in the key of the list of its followers.
+// Key prefix of a reader's list of followers; the reader's name follows.
 constexpr std::string_view kFollowersKeyPrefix = "followers/";
 
-// The value of a daemon's own entry; its name is in the key.
+// The value of a daemon's entry. Its name is part of the key.
 std::string EncodeEntry(const blackboard::Member& member);
-// Words that are missing, as in the entry of another version, leave what the
-// daemon is without them. Absent if no daemon can have written it.
+// Fields that are missing, as in an entry written by another version, keep
+// their defaults. Returns nothing if the value is not a valid entry.
 std::optional<blackboard::Member> DecodeEntry(const std::string& name,
                                               const std::string& value);
 
-// A daemon with its name, on one line: what a follower says of itself.
+// An entry with the daemon's name in front, on one line: how a follower
+// identifies itself to its reader.
 std::string EncodeNamedEntry(const blackboard::Member& member);
 std::optional<blackboard::Member> DecodeNamedEntry(const std::string& line);
 
-// The followers of one reader, a line each.
+// The followers of one reader, one line each.
 std::string EncodeFollowers(const std::vector<blackboard::Member>& members);
-// Lines that can't be read are left out.
+// Skips lines that can't be parsed.
 std::vector<blackboard::Member> DecodeFollowers(const std::string& value);
 
 }  // namespace medlarspread::membership
--- a/src/membership/domain_prober.cc
+++ b/src/membership/domain_prober.cc
@@ -1,4 +1,4 @@
-// Probes of other failure domains behind membership::DomainProber.
+// Implementation of membership::DomainProber.
 
 #include "src/membership/domain_prober.h"
 
@@ -49,11 +49,12 @@
   turn_.pop_back();
 }
 
-// Any daemon of such a domain may answer: its delegates may be what failed.
+// Probes a random daemon of each failing domain instead of a delegate: the
+// delegates may be what failed.
 void DomainProber::ProbeFailingDomains() {
   for (const std::string& domain : watch_.Failing()) {
     if (!watch_.IsReachable(domain)) {
-      // Its turn comes; there is no hurry any more.
+      // Already known to be unreachable; the regular probes are enough.
       continue;
     }
     const auto present = table_.PresentIn(domain);
--- a/src/membership/domain_prober.h
+++ b/src/membership/domain_prober.h
@@ -1,5 +1,5 @@
-// What a delegate does for its failure domain: it probes the other domains in
-// turn, and finds out which of them can't be reached.
+// Probes the other failure domains in turn and finds out which of them are
+// unreachable. Runs on the delegates of a failure domain.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_DOMAIN_PROBER_H_
 #define MEDLARSPREAD_MEMBERSHIP_DOMAIN_PROBER_H_
@@ -30,9 +30,9 @@
                Messenger& messenger,
                FailureDetector& detector);
 
-  // One round of a delegate. Returns whether a domain has become unreachable.
+  // Runs one round of probes. Returns whether a domain became unreachable.
   bool DidStartRound();
-  // The VM is of another domain and was heard.
+  // A message came from a VM of another domain.
   void DidHear(const std::string& name);
   void Postpone(base::Duration delay);
   void Clear();
--- a/src/membership/domain_watch.cc
+++ b/src/membership/domain_watch.cc
@@ -1,4 +1,4 @@
-// Times per failure domain behind membership::DomainWatch.
+// Implementation of membership::DomainWatch.
 
 #include "src/membership/domain_watch.h"
 
--- a/src/membership/domain_watch.h
+++ b/src/membership/domain_watch.h
@@ -1,10 +1,11 @@
-// Which other failure domains can be reached. The delegates of a domain watch
-// the others for it and tell the rest.
+// Tracks which other failure domains are reachable. The delegates of a domain
+// determine this and tell the other daemons of their domain.
 //
-// A domain counts as unreachable once a probe into it has failed and nothing
-// has been heard from it for a while since, by this daemon or by one that told
-// it. That says nothing about its daemons: when it can be reached again, all
-// its records hold as they were and are then brought up to date.
+// A domain counts as unreachable once a probe into it has failed and neither
+// this daemon nor one that reported to it has heard from the domain for the
+// grace period that follows. This says nothing about the domain's daemons:
+// their records are kept unchanged and are updated once the domain is reachable
+// again.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_DOMAIN_WATCH_H_
 #define MEDLARSPREAD_MEMBERSHIP_DOMAIN_WATCH_H_
@@ -24,7 +25,7 @@
   // `grace` is how long a domain may be silent after the first failed probe.
   explicit DomainWatch(base::Duration grace);
 
-  // A daemon of the domain was heard at `heard_at`. Returns whether the domain
+  // A message from the domain arrived at `heard_at`. Returns whether the domain
   // was unreachable until now.
   bool DidHear(const std::string& domain, base::MonotonicTime heard_at);
   // A probe into the domain that was sent at `sent_at` has failed.
@@ -32,28 +33,29 @@
                base::MonotonicTime sent_at,
                base::MonotonicTime now);
 
-  // Moves domains whose grace is over to the unreachable ones. Returns whether
-  // there was one.
+  // Marks domains whose grace period is over as unreachable. Returns whether
+  // there were any.
   bool Judge(base::MonotonicTime now);
 
-  // Takes over the verdict of a delegate. Returns whether it differs.
+  // Replaces the set of unreachable domains by that of a delegate. Returns
+  // whether it changed.
   bool SetUnreachable(const std::vector<std::string>& domains);
 
-  // Gives all grace periods a new start, because this daemon was held up.
+  // Restarts all grace periods, because this daemon itself was delayed.
   void Restart(base::MonotonicTime now);
 
   bool IsReachable(const std::string& domain) const;
-  // Domains with a failed probe since they were last heard.
+  // Domains with a failed probe since the last message from them.
   std::vector<std::string> Failing() const;
   std::vector<std::string> Unreachable() const;
-  // How long ago the domain was heard; the longest duration if never.
+  // How long ago the domain was last heard from; the maximum duration if never.
   base::Duration AgeOf(const std::string& domain,
                        base::MonotonicTime now) const;
 
  private:
   const base::Duration grace_;
   std::map<std::string, base::MonotonicTime> heard_at_;
-  // When the first probe failed, for domains not heard since.
+  // When the first probe failed, for domains not heard from since.
   std::map<std::string, base::MonotonicTime> failing_since_;
   std::set<std::string> unreachable_;
 };
--- a/src/membership/draining_news.cc
+++ b/src/membership/draining_news.cc
@@ -1,4 +1,4 @@
-// A map of times behind membership::DrainingNews.
+// Implementation of membership::DrainingNews.
 
 #include "src/membership/draining_news.h"
 
@@ -9,8 +9,9 @@
 
 namespace {
 
-// More than all hops take; less than an upstream is held out after it drained
-// (UpstreamSettings::draining_hold).
+// Two notices closer together than this are copies of one. It exceeds the time
+// that all hops take, and is shorter than the time for which a drained upstream
+// gets no requests (UpstreamSettings::draining_hold).
 constexpr base::Duration kSameNews = base::Milliseconds(5'000);
 
 }  // namespace
@@ -29,9 +30,9 @@
   if (is_new) {
     return true;
   }
-  // NOTE: ages don't count the time on the way, so the same news arrives with
-  // slightly later times. News that is later by more than that is another one:
-  // the upstream came back and drains again.
+  // NOTE: ages don't include the time in transit, so copies of a notice arrive
+  // with slightly later times. A larger difference means that the upstream came
+  // back and is draining again.
   if (heard_at - row->second < kSameNews) {
     return false;
   }
@@ -41,8 +42,9 @@
 
 std::map<std::string, std::int32_t> DrainingNews::Current(
     base::MonotonicTime now) {
-  // Kept for longer than it is passed on: another daemon may have it a little
-  // younger, and what that one still passes on must not be taken for new.
+  // Notices are kept for twice the time that they are passed on: another daemon
+  // may hold a slightly younger copy and still pass it on, which must not count
+  // as new here.
   std::erase_if(heard_at_, [&](const auto& row) {
     return now - row.second >= 2 * lifetime_;
   });
--- a/src/membership/draining_news.h
+++ b/src/membership/draining_news.h
@@ -1,6 +1,6 @@
-// Which upstreams are said to be draining, with the age of that news. It rides
-// on heartbeats for a while, so that a daemon that missed the announcement
-// hears it too.
+// Recent notices that an upstream is draining, with their age. They are
+// piggybacked on heartbeats for a limited time, so that daemons that missed the
+// first message receive them too.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_DRAINING_NEWS_H_
 #define MEDLARSPREAD_MEMBERSHIP_DRAINING_NEWS_H_
@@ -16,22 +16,22 @@
 
 class DrainingNews {
  public:
-  // News is passed on for `lifetime`, at most `max_passed_on` at a time.
+  // Notices are passed on for `lifetime`, at most `max_passed_on` at a time.
   DrainingNews(base::Duration lifetime, std::size_t max_passed_on);
 
-  // Whether it is new: not known, or later than what is known by so much that
-  // it can't be the same word that took another way.
+  // Returns whether the notice is new: the upstream has none, or its last one
+  // is so much older that this can't be a copy that arrived by another path.
   bool Add(const std::string& upstream,
            base::Duration age,
            base::MonotonicTime now);
 
-  // What to pass on, by name, with ages in milliseconds.
+  // The notices to pass on: age in milliseconds by upstream name.
   std::map<std::string, std::int32_t> Current(base::MonotonicTime now);
 
  private:
   const base::Duration lifetime_;
   const std::size_t max_passed_on_;
-  // When each upstream was heard to be draining.
+  // When each upstream started to drain, as far as known.
   std::map<std::string, base::MonotonicTime> heard_at_;
 };
 
--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -1,4 +1,4 @@
-// Probes, suspicions and verdicts behind membership::FailureDetector.
+// Implementation of membership::FailureDetector.
 
 #include "src/membership/failure_detector.h"
 
@@ -41,7 +41,8 @@
   messenger_.Send(name, messenger_.ComposeWithRecent(HeartbeatKind::kProbe));
 }
 
-// The present daemon that follows this one, in a circle; empty if alone.
+// The present daemon that follows this one in name order, wrapping around;
+// empty if there is none.
 std::string FailureDetector::Successor() const {
   const auto names = table_.PresentIn(table_.self().failure_domain);
   const auto next =
@@ -52,7 +53,7 @@
   return names.empty() ? std::string() : names.front();
 }
 
-// The next daemon that is present and has no probe pending; empty if none has.
+// The next present daemon without a pending probe; empty if there is none.
 std::string FailureDetector::NextInTurn() {
   for (bool is_second_pass : {false, true}) {
     while (!turn_.empty()) {
@@ -100,7 +101,7 @@
     return;
   }
   if (IsPresent(*known) && IsNewer(*known, suspected)) {
-    // It has contradicted this doubt already.
+    // The daemon has already refuted this suspicion.
     peer::wire::Heartbeat heartbeat = messenger_.Compose(HeartbeatKind::kNews);
     heartbeat.others = {*known};
     messenger_.Send(asker, std::move(heartbeat));
@@ -169,7 +170,8 @@
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kMembership,
                 .peer = name,
-                .message = "gone: it answers nobody"});
+                .message = "declared gone: it did not answer this daemon or "
+                           "its helpers in time"});
     gone.push_back(std::move(record));
   }
   if (gone.empty()) {
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,19 +1,20 @@
-// Finds out which daemons of the own failure domain are gone.
+// Detects failed daemons in this daemon's failure domain, similar to the SWIM
+// protocol.
 //
-// 1. Each round probes one. Every other time that is the daemon that follows in
-//    the order of names, so that each is probed in time by one other; the rest
-//    go to all in a shuffled order, so that the loss of neighbours is noticed
-//    too and news spreads fast.
-// 2. A probe without an answer raises a suspicion: the daemon is probed again
-//    and some others are asked to probe it as well. They do so with the
-//    suspicion attached, which the daemon contradicts in its answer, and they
-//    pass the contradiction on.
-// 3. A suspicion that nobody contradicts in time becomes the verdict, which is
-//    spread at once, also to the daemon itself: if it lives after all, it
-//    contradicts that too.
+// 1. Each round probes one daemon. Every other probe goes to the successor in
+//    the order of names, so that each daemon is probed regularly by one other;
+//    the rest go to all daemons in shuffled order, so that the loss of adjacent
+//    daemons is detected too and updates spread fast.
+// 2. An unanswered probe raises a suspicion: the daemon is probed again, and
+//    some other daemons are asked to probe it as well. These probes carry the
+//    suspicion, the suspected daemon refutes it in its answer, and the helpers
+//    forward the refutation.
+// 3. A daemon that does not refute a suspicion in time is declared gone. This
+//    is broadcast at once, also to the daemon itself, so that it can still
+//    refute it if it is alive.
 //
-// A daemon of another domain can be asked about in the same way; its own domain
-// gives the verdict.
+// Suspicions about daemons of another domain are handled in the same way, but
+// only that domain itself declares them gone.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_FAILURE_DETECTOR_H_
 #define MEDLARSPREAD_MEMBERSHIP_FAILURE_DETECTOR_H_
@@ -44,32 +45,34 @@
                   MemberTable& table,
                   Messenger& messenger);
 
-  // Probes the next `count` daemons: by turns the one that follows this daemon
-  // in the order of names, and one at random.
+  // Probes the next `count` daemons, alternating between the successor in the
+  // order of names and a random one.
   void ProbeNext(std::size_t count);
-  // Sends one probe without following it up, to a daemon that may be gone.
+  // Sends one probe, without a timeout, to a daemon that may be gone.
   void TryAbsent(const std::string& name);
 
-  // Any message came from the daemon itself.
+  // A message came from the daemon itself.
   void DidHear(const std::string& name);
-  // The daemon has contradicted a doubt, as somebody passed on.
+  // The daemon has refuted a suspicion, as learned from itself or from others.
   void DidConfirm(const std::string& name);
-  // `asker` wants to know whether anybody has heard the VM of the record.
+  // `asker` asks this daemon to probe a suspected VM on its behalf.
   void DidAsk(const Record& suspected, const std::string& asker);
 
-  // Probes the daemon with the doubt attached and asks `helpers` to do so too.
+  // Probes the daemon with the suspicion attached and asks `helpers` to do so
+  // too.
   void AskAbout(const std::string& name, std::vector<std::string> helpers);
 
-  // Acts on probes that are overdue. Returns whether a daemon was found gone.
+  // Handles probes that timed out. Returns whether a daemon was declared gone.
   bool Judge();
 
-  // This daemon was held up for `delay`.
+  // Extends all timeouts by `delay`, for which this daemon itself was delayed.
   void Postpone(base::Duration delay);
-  // Drops all probes and suspicions.
+  // Drops all pending probes and suspicions.
   void Clear();
 
  private:
-  // Daemons that asked about one VM, until when they want to know.
+  // The daemons that asked for a probe of one VM, and when their requests
+  // expire.
   struct Askers {
     std::set<std::string> names;
     base::MonotonicTime expires;
@@ -89,7 +92,7 @@
   Messenger& messenger_;
   ProbeTracker probes_;
   bool is_successor_next_ = false;
-  // Those still to be probed in this pass over the domain.
+  // Daemons still to be probed in this pass over the domain.
   std::vector<std::string> turn_;
   std::map<std::string, Askers> askers_;
 };
--- a/src/membership/follower_list.cc
+++ b/src/membership/follower_list.cc
@@ -1,4 +1,4 @@
-// One row for each follower.
+// Implementation of membership::FollowerList.
 
 #include "src/membership/follower_list.h"
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-// A failure domain has some hundred daemons; a peer that makes names up must
-// not fill the store's key.
+// A failure domain has about a hundred daemons. The limit keeps a peer that
+// sends made-up names from filling the key in the store.
 constexpr std::size_t kMostFollowers = 2'000;
 
 }  // namespace
--- a/src/membership/follower_list.h
+++ b/src/membership/follower_list.h
@@ -1,14 +1,14 @@
-// The daemons that take their news of the store from this one. It writes them
-// into the store in one key, so that they need no entries and leases of their
-// own: 177 of 195 daemons then cost the store nothing when they start, where
-// each cost two calls.
+// The daemons that receive their store updates from this one. This daemon
+// writes them into the store under a single key, so that they need no entries
+// and leases of their own: at the start of a fleet of 195 daemons, 177 then
+// cause no store calls, instead of two each.
 //
-// A follower counts for as long after it was last heard as an entry with a
-// lease of its own would. What the store still holds of an earlier start of
-// this daemon counts as heard then: a fleet that lost power must not count too
-// few, since budgets are shared out among those that are known.
+// A silent follower counts for as long as an entry with its own lease would.
+// Followers that an earlier start of this daemon left in the store count as
+// heard from when they are read: after a power loss of the whole fleet, too few
+// known daemons would make each one's share of the common budgets too large.
 //
-// Pure bookkeeping; calls come from one sequence.
+// All calls must come from one sequence.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_FOLLOWER_LIST_H_
 #define MEDLARSPREAD_MEMBERSHIP_FOLLOWER_LIST_H_
@@ -24,14 +24,14 @@
 
 class FollowerList {
  public:
-  // `kept_for`: how long a silent follower still counts.
+  // `kept_for` is how long a silent follower still counts.
   explicit FollowerList(base::Duration kept_for) : kept_for_(kept_for) {}
 
   void DidHear(const blackboard::Member& member, base::MonotonicTime now);
-  // The store's list from an earlier start of this daemon.
+  // Takes in the list that an earlier start of this daemon left in the store.
   void DidReadOwn(const std::vector<blackboard::Member>& members,
                   base::MonotonicTime now);
-  // Drops those that have been silent for too long; returns the others.
+  // Drops followers that have been silent for too long and returns the others.
   std::vector<blackboard::Member> Current(base::MonotonicTime now);
 
  private:
--- a/src/membership/heartbeat_handling.cc
+++ b/src/membership/heartbeat_handling.cc
@@ -1,5 +1,5 @@
-// What a heartbeat brings: the part of MembershipCore that merges it and
-// replies.
+// The part of MembershipCore that merges received heartbeats and replies to
+// them.
 
 #include <algorithm>
 #include <chrono>
@@ -13,16 +13,18 @@
 
 using peer::wire::Heartbeat;
 
-// More changes than this at once come from a table. The others have tables too,
-// so they are not passed on: a newcomer would be busy with that for minutes.
+// A larger number of changes comes from a full table. Those are not passed on,
+// since the other daemons exchange tables as well: doing so would keep a newly
+// started daemon busy for minutes.
 constexpr std::size_t kMaxPassedOn = 16;
-// How often the records of one domain are asked for, and of how many at once:
-// that bounds what comparing tables may cost.
+// How often the records of one domain are requested, and for how many domains
+// at once. This bounds the cost of table comparisons.
 constexpr base::Duration kWantedInterval = base::Milliseconds(2000);
 constexpr std::size_t kMaxWantedDomains = 4;
-// Added to the age of what another daemon has heard. It is more than the news
-// took on its way; otherwise an age that is passed to and fro would shrink with
-// each hop, and a domain that can't be reached would in time seem to be heard.
+// Added to the ages that other daemons report, because they don't include the
+// time in transit. Without it, an age that is passed back and forth would
+// shrink with each hop, and an unreachable domain would eventually seem to have
+// been heard from.
 constexpr base::Duration kRelayAllowance = base::Milliseconds(250);
 
 }  // namespace
@@ -33,7 +35,7 @@
     return;
   }
   if (heartbeat.sender.name != sender.name) {
-    // The links' notice to an older incarnation has no record of its sender.
+    // The peer links' notice to an older incarnation has no sender record.
     MergeOthers(heartbeat);
     return;
   }
@@ -57,7 +59,8 @@
   const Record& record = heartbeat.sender;
   const MergeResult result = table_.Merge(record, clock_.Now());
   const Record* known = table_.Find(record.name);
-  // One that is taken for gone counts as heard once it has contradicted that.
+  // A sender that was declared gone counts as heard from only once it has
+  // refuted that.
   if (known != nullptr && IsPresent(*known) &&
       known->incarnation == record.incarnation) {
     detector_.DidHear(record.name);
@@ -85,7 +88,7 @@
   }
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kMembership,
-              .message = "failure domain can be reached again: " + domain});
+              .message = "failure domain is reachable again: " + domain});
   MarkChanged();
   messenger_.SpreadInDomain({});
 }
@@ -142,7 +145,8 @@
       changed.push_back(*table_.Find(record.name));
       return;
     case MergeResult::kSelfContradicted:
-      // Whoever doubts hears it at once, the others in the next round.
+      // The daemon that suspects this one is told at once, the others in the
+      // next round.
       is_announcement_due_ =
           is_announcement_due_ || StateOf(record) == RecordState::kGone;
       if (!from.empty() && from != settings_.name) {
@@ -278,7 +282,8 @@
   if (!is_probe && !is_outdated && heartbeat.wanted_domains.empty()) {
     return;
   }
-  // A table from a daemon that knows no better than the asker settles nothing.
+  // A daemon that is not settled itself sends no table: it may know no more
+  // than the requester.
   const bool is_table = heartbeat.wants_table && is_settled_;
   Heartbeat reply = messenger_.ComposeWithRecent(
       is_table ? HeartbeatKind::kTable : HeartbeatKind::kAnswer);
--- a/src/membership/lease_registration.cc
+++ b/src/membership/lease_registration.cc
@@ -1,4 +1,4 @@
-// Lease, entry, followers, renewals.
+// Implementation of membership::LeaseRegistration.
 
 #include "src/membership/lease_registration.h"
 
@@ -11,13 +11,13 @@
 
 namespace {
 
-// Each call is paid for; a registration may come seconds late.
+// Store calls cost money, and a registration may be seconds late.
 constexpr base::Duration kRetry = base::Milliseconds(2'000);
-// How often a daemon that is not registered looks whether it should be.
+// How often an unregistered daemon checks whether it should register.
 constexpr base::Duration kConsiderInterval = base::Milliseconds(1'000);
-// A daemon with less than this part of another one's processor follows it.
+// A daemon with less than this fraction of another one's cores follows it.
 constexpr double kWeakPart = 0.5;
-// A daemon that says it has less than this part of a core comes no later.
+// Lower bound of the number of cores in the registration delay.
 constexpr double kLeastShare = 0.1;
 
 }  // namespace
@@ -77,7 +77,7 @@
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kMembership,
                 .message = "the entry of daemon " + name +
-                           " can't be read; it counts as gone"});
+                           " is invalid; the daemon counts as gone"});
   }
   registered_.erase(name);
 }
@@ -122,9 +122,9 @@
 
 void LeaseRegistration::DidHearFollower(const std::string& entry) {
   const auto member = DecodeNamedEntry(entry);
-  // NOTE: one of another failure domain asks here because its own readers are
-  // away. Were it listed, a list would hold the whole fleet, and each change of
-  // it would go to the whole fleet.
+  // NOTE: a daemon of another failure domain asks here only because its own
+  // readers are unavailable. If it were listed, a list could grow to the whole
+  // fleet, and each of its changes would be sent to the whole fleet.
   const bool is_listed_here = member && member->name != self_.name &&
                               member->failure_domain == self_.failure_domain;
   if (is_listed_here) {
@@ -149,8 +149,9 @@
               [self = shared_from_this(), list,
                lease = lease_](const base::Status& status) {
                 if (!status.is_ok()) {
-                  self->log_.DidFail(status.error(),
-                                     "the followers are not listed yet");
+                  self->log_.DidFail(
+                      status.error(),
+                      "the list of followers was not written; retrying");
                 } else if (lease == self->lease_) {
                   self->written_followers_ = list;
                 }
@@ -173,9 +174,9 @@
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kMembership,
               .message = std::to_string(view.members.size()) +
-                         " daemons are known, " +
+                         " known daemons, " +
                          std::to_string(registered_.size()) +
-                         " others registered themselves"});
+                         " of them registered, without this one"});
   blackboard_.membership.Write(std::move(view));
 }
 
@@ -208,10 +209,12 @@
     Again(kConsiderInterval, &LeaseRegistration::ConsiderRegistering);
     return;
   }
-  log_.Write({.level = base::LogLevel::kInfo,
-              .step = base::Step::kMembership,
-              .message = is_weak() ? "no reader lists this daemon; registering"
-                                   : "registering"});
+  log_.Write(
+      {.level = base::LogLevel::kInfo,
+       .step = base::Step::kMembership,
+       .message = is_weak()
+                      ? "no reader lists this daemon as a follower; registering"
+                      : "registering"});
   Register();
 }
 
@@ -248,8 +251,8 @@
               });
 }
 
-// The interval is looked at again each second, since the daemon may become a
-// reader meanwhile.
+// The interval is checked again each second, since the daemon may become a
+// reader in the meantime.
 void LeaseRegistration::RenewLater() {
   Again(settings_.reader_renewal, &LeaseRegistration::Renew);
 }
@@ -258,7 +261,7 @@
   if (must_register_) {
     log_.Write({.level = base::LogLevel::kInfo,
                 .step = base::Step::kMembership,
-                .message = "registering again in the restored store"});
+                .message = "the store was restored; registering again"});
     Register();
     return;
   }
@@ -274,7 +277,8 @@
     const bool has_ended =
         !status.is_ok() && status.error().code == base::ErrorCode::kNotFound;
     if (has_ended) {
-      self->log_.DidFail(status.error(), "registering again");
+      self->log_.DidFail(status.error(),
+                         "the lease has ended; registering again");
       self->Again(base::Duration{}, &LeaseRegistration::Register);
       return;
     }
--- a/src/membership/lease_registration.h
+++ b/src/membership/lease_registration.h
@@ -1,23 +1,27 @@
-// Makes this daemon known to the others for as long as it lives, and keeps the
-// blackboard's view of the daemons from what the store says of all.
+// Registers this daemon in the store for as long as it runs, and keeps the
+// blackboard's membership view up to date from the registrations of all
+// daemons.
 //
-// Where the store has leases this takes the place of heartbeats: a daemon that
-// dies is gone when its lease ends. Only counts that may be seconds old depend
-// on it, such as the shares of a leaf's connections.
+// Where the store supports leases, this replaces heartbeats: a daemon that dies
+// is removed when its lease ends. The resulting counts, which may be seconds
+// old, are only used for values such as a daemon's share of a leaf's
+// connections.
 //
 // Steps:
-//   1. The stronger a VM, the sooner its daemon registers itself under a lease.
-//   2. A daemon on a VM that is weak beside others of its failure domain does
-//      not: it follows one of them, which lists its followers in one key. If it
-//      is not listed after a while, it registers itself all the same.
-//   3. Whoever is registered renews its lease, and writes its list again when
-//      its followers have changed.
-//   4. When the store was restored from a copy, the lease may be lost and its
-//      identifier given to another daemon: it is not renewed any more, and
-//      entry and list are written under a new lease.
+//   1. Daemons on larger VMs register themselves earlier, each under a lease.
+//   2. A daemon on a VM that is small compared with others of its failure
+//      domain does not register. It follows a registered daemon, which lists
+//      its followers under one key. A daemon that is not listed after a while
+//      registers itself.
+//   3. A registered daemon renews its lease, and writes its list again when its
+//      followers have changed.
+//   4. After the store was restored from a backup, the lease may be lost and
+//      its identifier assigned to another daemon. The lease is not renewed any
+//      more; entry and list are written under a new one.
 //
-// Invariant: a daemon counts for at least the time of a lease after it was last
-// heard; dead ones that still count are the safe side of every share.
+// Invariant: a daemon counts for at least the lease time after it was last
+// heard from. Counting daemons that are already dead is safe, since it only
+// makes the shares smaller.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_LEASE_REGISTRATION_H_
 #define MEDLARSPREAD_MEMBERSHIP_LEASE_REGISTRATION_H_
@@ -39,34 +43,36 @@
 namespace medlarspread::membership {
 
 struct LeaseRegistrationSettings {
-  // How long a dead daemon still counts. Peers that call it find out sooner.
+  // How long a dead daemon still counts. Peers that call it detect its death
+  // sooner.
   base::Duration time_to_live = base::Milliseconds(60'000);
-  // Two renewals may be lost before the lease ends.
+  // Two renewals in a row may fail before the lease ends.
   base::Duration renewal = base::Milliseconds(20'000);
-  // A daemon that reads the store renews this often, which shows it and those
-  // that ask it within two seconds that the store has fallen silent. A renewal
-  // costs a tenth of a call.
+  // The renewal interval of a daemon that reads the store. It lets that daemon,
+  // and those that ask it, detect within two seconds that the store does not
+  // respond. A renewal costs a tenth of a store call.
   base::Duration reader_renewal = base::Milliseconds(1'000);
-  // A daemon registers itself this long after its start, divided by its VM's
-  // part of a core. Half a core comes 1.9 s before an eighth, time enough to
-  // register and to list it.
+  // A daemon registers after this delay divided by its VM's number of cores.
+  // Half a core is 1.9 s ahead of an eighth of a core, enough to register and
+  // to list the smaller one.
   base::Duration pace = base::Milliseconds(300);
-  // A daemon on a weak VM that is not listed for this time registers itself.
+  // A daemon on a small VM registers itself if it has not been listed for this
+  // time.
   base::Duration listing_patience = base::Milliseconds(6'000);
-  // The list of followers is looked at this often, and written if it changed:
-  // a start of the whole fleet changes it twice or so.
+  // How often the list of followers is checked for changes and written if there
+  // are any. It changes about twice while the whole fleet starts.
   base::Duration list_interval = base::Milliseconds(1'500);
-  // How long those of a list still count that was taken away: its writer, or
-  // the next reader, needs seconds to find out and to write it again.
+  // How long the daemons on a removed list still count. Its writer, or the next
+  // reader, needs seconds to detect the removal and write the list again.
   base::Duration unlisted_kept = base::Milliseconds(10'000);
 };
 
-// How long after its start a daemon on a VM with that part of a core registers.
+// How long after its start a daemon on a VM with that many cores registers.
 base::Duration RegistrationWait(const LeaseRegistrationSettings& settings,
                                 double processor_share);
 
-// Runs on the control thread; the only writer of Blackboard::membership with
-// the opaque interface.
+// Runs on the control thread. It is the only writer of Blackboard::membership
+// with the opaque interface.
 class LeaseRegistration
     : public std::enable_shared_from_this<LeaseRegistration> {
  public:
@@ -82,29 +88,29 @@
 
   void Start();
   void Stop();
-  // An entry under kDaemonKeyPrefix was written; or removed, if `value` is
+  // An entry under kDaemonKeyPrefix was written, or removed if `value` is
   // absent.
   void DidChange(const std::string& name,
                  const std::optional<std::string>& value);
-  // The list of a reader's followers, under kFollowersKeyPrefix, was written or
-  // removed.
+  // A list of followers under kFollowersKeyPrefix was written, or removed if
+  // `value` is absent.
   void DidChangeFollowers(const std::string& reader,
                           const std::optional<std::string>& value);
-  // A daemon that takes its news from this one said who it is
-  // (EncodeNamedEntry).
+  // A daemon that receives its store updates from this one identified itself
+  // (see EncodeNamedEntry).
   void DidHearFollower(const std::string& entry);
-  // The store was restored from a copy.
+  // The store was restored from a backup.
   void DidRestoreStore() { must_register_ = true; }
-  // Makes the changes since the last call visible.
+  // Writes the view to the blackboard if it changed since the last call.
   void Publish();
 
  private:
   using Members = std::map<std::string, blackboard::Member>;
 
-  // Registers this daemon if nobody lists it, or looks again later.
+  // Registers this daemon if no reader lists it; otherwise checks again later.
   void ConsiderRegistering();
-  // Whether another daemon of the failure domain is registered that is so much
-  // stronger that this one follows it.
+  // Whether a registered daemon of the failure domain runs on a VM so much
+  // larger that this one follows it.
   bool is_weak() const;
   bool is_listed() const;
   void Register();
@@ -120,28 +126,28 @@
   const base::Clock clock_;
   const base::TaskRunner control_;
   const store::EventSource source_;
-  // Whether this daemon takes its news from the store itself.
+  // Whether this daemon reads the store itself.
   const std::function<bool()> is_reading_store_;
-  // Told of the outcome of each renewal.
+  // Called with the outcome of each renewal.
   const std::function<void(const base::Status&)> did_renew_;
   blackboard::Blackboard& blackboard_;
   const base::Log log_;
   // Daemons that registered themselves, without this one.
   Members registered_;
-  // What readers list, by the reader's name.
+  // Listed followers, by the reader's name.
   std::map<std::string, Members> lists_;
-  // When lists that were taken away are forgotten, by the reader's name.
+  // When removed lists are dropped, by the reader's name.
   std::map<std::string, base::MonotonicTime> forget_at_;
   FollowerList followers_;
-  // The list as it stands in the store under `lease_`.
+  // The list that is stored under `lease_`.
   std::string written_followers_;
   bool is_changed_ = false;
   bool is_stopped_ = false;
-  // Since when nobody lists this daemon; zero while somebody does.
+  // Since when no reader lists this daemon; zero while one does.
   base::MonotonicTime unlisted_since_;
   // Zero while this daemon is not registered.
   std::int64_t lease_ = 0;
-  // The lease is of the time before a restore of the store.
+  // The lease was opened before the store was restored.
   bool must_register_ = false;
   base::MonotonicTime renewed_;
 };
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -1,4 +1,4 @@
-// Maps by name and by failure domain behind membership::MemberTable.
+// Implementation of membership::MemberTable.
 
 #include "src/membership/member_table.h"
 
@@ -35,7 +35,8 @@
   if (record.name == self_name_) {
     return MergeSelf(record);
   }
-  // A suspicion is a question, and without an address nobody can be reached.
+  // A suspicion is a request and changes no record; a daemon without an address
+  // can't be contacted.
   if (record.name.empty() || record.address.empty() ||
       StateOf(record) == RecordState::kSuspected) {
     return MergeResult::kUnchanged;
@@ -51,8 +52,8 @@
   if (IsNewer(known, record)) {
     return MergeResult::kOutdated;
   }
-  // Within one incarnation the revision in force never falls, so that of two
-  // equal records the higher one is the later one.
+  // Within one incarnation the active revision never decreases, so that the
+  // higher one of two otherwise equal records is the later one.
   if (record.targets_revision > known.targets_revision) {
     known.targets_revision = record.targets_revision;
     known.targets_digest = record.targets_digest;
@@ -70,7 +71,7 @@
     return MergeResult::kUnchanged;
   }
   if (StateOf(self) == RecordState::kGone) {
-    // It has said so itself, because it stops.
+    // This daemon has announced it itself, because it is stopping.
     return MergeResult::kUnchanged;
   }
   const bool is_doubted = StateOf(record) == RecordState::kGone ||
@@ -104,7 +105,8 @@
     names_by_domain_[current.failure_domain].insert(current.name);
   }
   if (current.incarnation == previous.incarnation) {
-    // An incarnation that is leaving stays so, whoever has not heard it yet.
+    // An incarnation that is leaving stays so, even if a sender has not learned
+    // of it yet.
     if (StateOf(previous) == RecordState::kLeaving &&
         StateOf(current) == RecordState::kLive) {
       SetState(current, RecordState::kLeaving);
@@ -228,10 +230,10 @@
         record.incarnation, record.state,
         scope == DigestScope::kMembers ? 0 : record.targets_revision};
     const std::uint64_t seed = XXH64(facts.data(), sizeof(facts), 0);
-    // A sum, so that the order of names plays no part.
+    // A sum does not depend on the order of names.
     digest += XXH64(name.data(), name.size(), seed);
   }
-  // Half of it tells tables apart as well and is shorter on the wire.
+  // 32 bits are enough to tell tables apart and take less space on the wire.
   return static_cast<std::uint32_t>(digest);
 }
 
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
-// The records that this daemon has of all daemons, its own included. Decides
-// what a record heard from others changes; sends nothing itself.
+// The records of all daemons that this daemon knows, itself included. Decides
+// what a received record changes; sends nothing itself.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_MEMBER_TABLE_H_
 #define MEDLARSPREAD_MEMBERSHIP_MEMBER_TABLE_H_
@@ -17,20 +17,21 @@
 namespace medlarspread::membership {
 
 enum class MergeResult {
-  // The record says nothing new.
+  // The record contains nothing new.
   kUnchanged,
-  // A newer record of this VM is known; whoever sent this one should hear it.
+  // A newer record of this VM is known; the sender should be told.
   kOutdated,
-  // Only the revision of the targets in force has risen.
+  // Only the revision of the active targets is higher.
   kRevisionChanged,
-  // The VM has contradicted a doubt about it: it was alive a moment ago.
+  // The VM has refuted a suspicion or a report that it is gone: it was alive a
+  // moment ago.
   kConfirmed,
   // The VM is new, has left, has come back or has another incarnation.
   kStateChanged,
-  // The record doubts that this daemon is there. Its own record now contradicts
-  // that.
+  // The record calls this daemon suspected or gone. This daemon's own record
+  // now refutes that.
   kSelfContradicted,
-  // Another process runs under this daemon's name and is the newer one.
+  // A newer process runs under this daemon's name.
   kSelfReplaced,
 };
 
@@ -44,39 +45,42 @@
   // Makes this daemon's record newer than any that others may have of it.
   void RenewSelf();
 
-  // Takes in what another daemon says. `now` dates a change.
+  // Merges a record received from another daemon. `now` is the time of the
+  // change.
   MergeResult Merge(const Record& record, base::MonotonicTime now);
 
   // Null if the VM is not known.
   const Record* Find(const std::string& name) const;
   bool IsPresentMember(const std::string& name) const;
 
-  // Names of live and leaving daemons of one domain in their order, this one
-  // left out.
+  // Sorted names of the live and leaving daemons of one domain, without this
+  // one.
   std::vector<std::string> PresentIn(const std::string& domain) const;
-  // Names of daemons of one domain that are gone and not yet forgotten.
+  // Names of the daemons of one domain that are gone and not yet forgotten.
   std::vector<std::string> GoneIn(const std::string& domain) const;
-  // All domains with a present daemon, this one's included.
+  // All domains with a present daemon, this daemon's included.
   std::vector<std::string> Domains() const;
-  // The `count` daemons that exchange news with other domains for `domain`, by
-  // rendezvous hashing over those that are live. Best first.
+  // The `count` daemons that exchange updates with other domains on behalf of
+  // `domain`, chosen from its live daemons by rendezvous hashing. Highest rank
+  // first.
   std::vector<std::string> DelegatesOf(const std::string& domain,
                                        std::size_t count) const;
 
   std::vector<Record> AllRecords() const;
   std::vector<Record> RecordsOf(const std::string& domain) const;
-  // Over name, incarnation and state of the present daemons of a domain, and
-  // over the revision of targets of each if wanted: only the daemons of a
-  // domain itself know these.
+  // Digest over name, incarnation and state of the present daemons of a domain,
+  // and optionally over each one's targets revision, which only the daemons of
+  // that domain itself know.
   enum class DigestScope { kMembers, kMembersAndRevisions };
   std::int64_t DigestOf(const std::string& domain, DigestScope scope) const;
-  // The lowest revision in force on the live daemons of a domain; 0 if none.
+  // The lowest targets revision active on the live daemons of a domain; 0 if
+  // there are none.
   std::int64_t LowestRevisionOf(const std::string& domain) const;
 
   // Forgets daemons that have been gone since before `limit`.
   void ForgetGoneBefore(base::MonotonicTime limit);
 
-  // Visits each record in the order of names.
+  // Visits the records in the order of names.
   template <typename Visitor>
   void ForEach(const Visitor& visitor) const {
     for (const auto& [name, entry] : entries_) {
@@ -97,7 +101,7 @@
                       base::MonotonicTime now);
 
   const std::string self_name_;
-  // Holds this daemon's own record at all times.
+  // Always contains this daemon's own record.
   std::map<std::string, Entry> entries_;
   // The names in entries_ by failure domain.
   std::map<std::string, std::set<std::string>> names_by_domain_;
--- a/src/membership/membership_controller.cc
+++ b/src/membership/membership_controller.cc
@@ -1,4 +1,4 @@
-// Hands every call to the core on the control sequence.
+// Posts every call to MembershipCore on the control sequence.
 
 #include "src/membership/membership_controller.h"
 
--- a/src/membership/membership_controller.h
+++ b/src/membership/membership_controller.h
@@ -1,6 +1,6 @@
-// Keeps the membership view of the blackboard: which daemons there are, of
-// which incarnation, live or leaving. Carries the revision of the targets and
-// news of draining upstreams along with it.
+// Maintains the membership view on the blackboard: the known daemons, their
+// incarnation, and whether they are live or leaving. Also distributes the
+// active targets revision and notices of draining upstreams.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_MEMBERSHIP_CONTROLLER_H_
 #define MEDLARSPREAD_MEMBERSHIP_MEMBERSHIP_CONTROLLER_H_
@@ -22,7 +22,7 @@
 
 class MembershipCore;
 
-// Safe to call from any thread: the work is done on the control sequence.
+// Thread-safe: the work is done on the control sequence.
 class MembershipController {
  public:
   // `random` and `blackboard` must outlive the control sequence.
@@ -42,17 +42,18 @@
 
   void Start();
 
-  // Tells the others that this daemon ends and falls silent. `did_stop` runs on
-  // the control sequence once the messages are handed to the links.
+  // Tells the other daemons that this one ends, and sends nothing afterwards.
+  // `did_stop` runs on the control sequence once the messages are handed to the
+  // links.
   void Stop(base::Task did_stop = {});
 
-  // Tells all that this daemon is leaving: it gets no new work from now on.
+  // Tells the other daemons that this one is leaving and takes no new work.
   void Leave();
 
-  // Tells all that an upstream said it was draining.
+  // Tells the other daemons that an upstream announced that it is draining.
   void NoteDrainingUpstream(const std::string& name);
 
-  // For each heartbeat that the links receive.
+  // Must be called for each heartbeat that the peer links receive.
   void DidReceiveHeartbeat(const peer::Sender& sender,
                            const peer::wire::Heartbeat& heartbeat);
 
--- a/src/membership/membership_core.cc
+++ b/src/membership/membership_core.cc
@@ -1,5 +1,5 @@
-// Start, rounds, waking and the view. What a heartbeat brings is in
-// heartbeat_handling.cc.
+// Start, rounds, recovery from a freeze, and the view. heartbeat_handling.cc
+// has the handling of received heartbeats.
 
 #include "src/membership/membership_core.h"
 
@@ -13,13 +13,15 @@
 
 namespace {
 
-// Rounds are spread by up to this share, so that daemons don't keep step.
+// Random variation of the time between rounds, as a share of it, so that the
+// daemons' rounds don't synchronize.
 constexpr double kRoundJitter = 0.2;
-// How long changes are gathered before the view is written: a view is copied
-// whole.
+// How long changes are collected before the view is written, since each write
+// copies the whole view.
 constexpr base::Duration kPublishDelay = base::Milliseconds(20);
 constexpr std::size_t kMaxDrainingPassedOn = 32;
-// A table from another domain is asked for after this share of the time.
+// A table from another domain is requested only once the settle timeout divided
+// by this has passed.
 constexpr int kOwnDomainShare = 3;
 
 Record MakeSelf(const MembershipSettings& settings) {
@@ -89,7 +91,7 @@
   }
   round_timer_.Cancel();
   list_->Close();
-  // Its last word saves the others the time to find out.
+  // Announces the end, so that the others need not detect it.
   table_.SetSelfState(RecordState::kGone);
   Announce();
 }
@@ -158,9 +160,11 @@
 }
 
 void MembershipCore::DidWake() {
-  log_.Write({.level = base::LogLevel::kWarning,
-              .step = base::Step::kMembership,
-              .message = "was frozen: asks its peers before it goes on"});
+  log_.Write(
+      {.level = base::LogLevel::kWarning,
+       .step = base::Step::kMembership,
+       .message =
+           "this VM was frozen; asking peers for the current membership"});
   is_settled_ = false;
   settling_since_ = clock_.Now();
   detector_.Clear();
@@ -181,8 +185,8 @@
   if (!is_settled_) {
     return;
   }
-  // The delegates carry it to the other domains; within the own one the rounds
-  // are fast enough.
+  // The delegates pass the revision on to the other domains. Within this one
+  // the regular rounds are fast enough.
   if (messenger_.IsDelegate()) {
     messenger_.SpreadToDomains({});
     return;
@@ -201,7 +205,7 @@
   if (prober_.DidStartRound()) {
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kMembership,
-                .message = "a failure domain can't be reached"});
+                .message = "a failure domain has become unreachable"});
     MarkChanged();
     messenger_.SpreadInDomain({});
   }
@@ -214,7 +218,7 @@
   next_summary_ = clock_.Now() + settings_.summary_interval;
   std::vector<std::string> receivers;
   if (messenger_.IsDelegate()) {
-    // One of the others at a time: they watch the same domains.
+    // One other delegate at a time is enough, since all probe the same domains.
     auto fellows =
         table_.DelegatesOf(settings_.failure_domain, settings_.delegates);
     std::erase(fellows, settings_.name);
@@ -239,8 +243,8 @@
   }
 }
 
-// Daemons of the own domain that are gone, or listed and never heard, are tried
-// now and then: they may only have been cut off.
+// Occasionally probes a daemon of this domain that is gone, or listed and never
+// heard from, since it may only have been cut off.
 void MembershipCore::TryAbsent() {
   if (clock_.Now() < next_absent_) {
     return;
@@ -257,8 +261,8 @@
   }
 }
 
-// A few daemons of each domain read the list; the others hear from them. One
-// that knows nobody reads it too.
+// Only the delegates of each domain read the list and pass it on, and so does a
+// daemon that knows no other in its domain.
 void MembershipCore::ReadListIfDue() {
   if (clock_.Now() < next_list_) {
     return;
@@ -279,7 +283,7 @@
   std::vector<Record> changed;
   for (const auto& [name, vm] : list_->others()) {
     const Record* known = table_.Find(name);
-    // The list may still mean a VM that another has replaced.
+    // The list may still describe a VM that has been replaced by another one.
     if (!vm.is_leaving || known == nullptr || known->address != vm.address ||
         StateOf(*known) != RecordState::kLive) {
       continue;
@@ -353,11 +357,13 @@
 }
 
 void MembershipCore::StepAside(std::int64_t newer_incarnation) {
-  log_.Write({.level = base::LogLevel::kError,
-              .step = base::Step::kMembership,
-              .peer = settings_.name,
-              .message = "a newer incarnation runs under this name: " +
-                         std::to_string(newer_incarnation)});
+  log_.Write(
+      {.level = base::LogLevel::kError,
+       .step = base::Step::kMembership,
+       .peer = settings_.name,
+       .message =
+           "a newer incarnation runs under this name, membership ends here: " +
+           std::to_string(newer_incarnation)});
   is_running_ = false;
   is_settled_ = false;
   round_timer_.Cancel();
--- a/src/membership/membership_core.h
+++ b/src/membership/membership_core.h
@@ -1,17 +1,17 @@
-// Membership as it runs on the control sequence: rounds, heartbeats, the list,
-// and what becomes of them in the view.
+// The membership protocol, run on the control sequence: rounds, heartbeats,
+// reads of the platform's VM list, and the view composed from them.
 //
 // 1. Start: the list is read, and listed daemons are asked for their table
-//    until one answers; until then the view is not settled.
-// 2. Each round: probes in the own domain; as a delegate, probes of other
-//    domains; at longer intervals, summaries to compare tables and a try of a
-//    daemon that is absent.
-// 3. A change that is found or heard is spread at once: in the own domain by
-//    whoever finds it, to other domains by the delegates of the own one, and
-//    from there by the delegate that receives it.
-// 4. A round that comes much too late means that the VM was frozen. Then the
-//    view is not settled, nobody is found gone, and a peer's table is asked for
-//    first. If that calls this daemon gone, it contradicts.
+//    until one answers. Until then the view is not settled.
+// 2. Each round: probes in this daemon's failure domain and, on a delegate,
+//    probes of other domains. At longer intervals, summaries are sent to
+//    compare tables, and one absent daemon is probed.
+// 3. A change is broadcast at once: within a failure domain by the daemon that
+//    detects it, to other domains by the delegates, and there by the delegate
+//    that receives it.
+// 4. A round that runs much too late means that the VM was frozen. The view is
+//    then not settled and no daemon is declared gone until a peer has sent its
+//    table. If that table calls this daemon gone, it refutes that.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_MEMBERSHIP_CORE_H_
 #define MEDLARSPREAD_MEMBERSHIP_MEMBERSHIP_CORE_H_
@@ -42,8 +42,7 @@
 
 namespace medlarspread::membership {
 
-// Everything here runs on `control`. It keeps itself alive through its timers
-// until Stop().
+// All calls run on `control`. The timers keep the object alive until Stop().
 class MembershipCore : public std::enable_shared_from_this<MembershipCore> {
  public:
   MembershipCore(const MembershipSettings& settings,
@@ -76,10 +75,10 @@
   void ReadListIfDue();
   void DidReadList();
 
-  // Joining, and joining again.
+  // Joining, at the start and after a freeze.
   void AskForTable();
   void DidSettle();
-  // Tells all of this daemon's own record.
+  // Broadcasts this daemon's own record.
   void Announce();
   void StepAside(std::int64_t newer_incarnation);
 
@@ -127,7 +126,7 @@
 
   bool is_running_ = false;
   bool is_settled_ = false;
-  // Whether others have to hear this daemon's record in the next round.
+  // Whether this daemon's record must be broadcast in the next round.
   bool is_announcement_due_ = false;
   bool has_changed_ = false;
   bool is_publish_scheduled_ = false;
@@ -137,7 +136,7 @@
   base::MonotonicTime next_summary_;
   base::MonotonicTime next_absent_;
   base::MonotonicTime next_list_;
-  // When the records of a domain were last asked for.
+  // When the records of a domain were last requested.
   std::map<std::string, base::MonotonicTime> wanted_at_;
 };
 
--- a/src/membership/messenger.cc
+++ b/src/membership/messenger.cc
@@ -1,4 +1,4 @@
-// Heartbeats out of the table, the domains and the news.
+// Implementation of membership::Messenger.
 
 #include "src/membership/messenger.h"
 
@@ -13,9 +13,9 @@
 
 using peer::wire::Heartbeat;
 
-// With four exchanges a round each way, a record that rides on this many
-// heartbeats of each daemon that has it reaches 94 daemons with certainty for
-// all practical purposes: every one of them passes it on as often.
+// With four exchanges a round in each direction, a record on this many
+// heartbeats of each daemon that has it practically always reaches 94 daemons,
+// since each of them passes it on as often.
 constexpr int kRecentCopies = 8;
 constexpr std::size_t kMaxRecentPerHeartbeat = 8;
 
@@ -75,11 +75,11 @@
   prepare_(peer);
   const Record* known = table_.Find(peer);
   if (known != nullptr && !IsPresent(*known)) {
-    // A VM that is taken for gone hears so first, and can contradict.
+    // Tells a VM that counts as gone about it, so that it can refute it.
     heartbeat.others.push_back(*known);
   }
-  // NOTE: the status is not looked at. A peer that can't be reached does not
-  // answer, and that is what membership goes by.
+  // NOTE: the status is ignored. An unreachable peer does not answer, and
+  // membership detects that.
   static_cast<void>(port_.send(peer, std::move(heartbeat)));
 }
 
@@ -182,7 +182,7 @@
   if (!delegates.empty()) {
     return delegates[random_.Below(delegates.size())];
   }
-  // All are leaving: any of them will do.
+  // All daemons of the domain are leaving; any of them will do.
   const auto present = table_.PresentIn(domain);
   return present.empty() ? std::string()
                          : present[random_.Below(present.size())];
--- a/src/membership/messenger.h
+++ b/src/membership/messenger.h
@@ -1,7 +1,7 @@
-// Composes heartbeats and sends them: to one daemon, to the whole failure
-// domain, or to a delegate of each other domain. Changes of records ride on
-// heartbeats a few times ("recent records"), so that a lost announcement is
-// made up for.
+// Composes heartbeats and sends them to one daemon, to the whole failure
+// domain, or to a delegate of each other domain. Changed records are
+// piggybacked on several of the next heartbeats ("recent records"), to make up
+// for lost messages.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_MESSENGER_H_
 #define MEDLARSPREAD_MEMBERSHIP_MESSENGER_H_
@@ -24,8 +24,8 @@
 
 class Messenger {
  public:
-  // `prepare` runs before each send with the peer's name, so that the peer's
-  // address can be published first. References must outlive this object.
+  // `prepare` runs before each send with the peer's name, so that the
+  // peer's address can be published first. References must outlive this object.
   Messenger(const MembershipSettings& settings,
             const base::Clock& clock,
             base::Random& random,
@@ -35,40 +35,42 @@
             DrainingNews& news,
             std::function<void(const std::string&)> prepare);
 
-  // A heartbeat of this daemon, without other records.
+  // A heartbeat with this daemon's own record only.
   peer::wire::Heartbeat Compose(HeartbeatKind kind);
-  // The same with the recent records on it.
+  // The same with recent records added.
   peer::wire::Heartbeat ComposeWithRecent(HeartbeatKind kind);
 
-  // A send that fails is not repeated: the next round is the repetition.
+  // A failed send is not repeated; the next round sends again anyway.
   void Send(const std::string& peer, peer::wire::Heartbeat heartbeat);
 
-  // Tells these records to each present daemon of the own domain, and to those
-  // that the records are about.
+  // Sends the records to each present daemon of this failure domain, and to the
+  // daemons of this domain that the records describe.
   void SpreadInDomain(const std::vector<Record>& records);
-  // Tells them to one delegate of each other domain that can be reached.
+  // Sends the records to one delegate of each other reachable domain.
   void SpreadToDomains(const std::vector<Record>& records);
 
-  // Lets the record ride on the next heartbeats.
+  // Adds the VM's record to the next heartbeats.
   void AddRecent(const std::string& name);
-  // Summaries of all domains, to be compared with those of another daemon of
-  // the own domain.
+  // Summaries of all domains, for comparison with those of another daemon of
+  // the same domain.
   std::map<std::string, peer::wire::DomainSummary> SummarizeAll() const;
-  // Summaries of the own and one other domain, for a daemon of the other. Each
-  // of the two knows best about itself.
+  // Summaries of this and one other domain, for a daemon of the other one. Each
+  // side has the best information about its own domain.
   std::map<std::string, peer::wire::DomainSummary> SummarizeFor(
       const std::string& other_domain) const;
-  // What the other side's digest of `domain` is compared with.
+  // The digest to compare with the one that a peer in `peer_domain` has of
+  // `domain`.
   std::int64_t DigestFor(const std::string& domain,
                          const std::string& peer_domain) const;
-  // The lowest revision in force in a domain, as known here.
+  // The lowest active targets revision of a domain, as known here.
   std::int64_t LowestRevisionOf(const std::string& domain) const;
-  // Takes over what a daemon nearer to the domain says.
+  // Stores the value reported by a daemon with better information on the
+  // domain.
   void NoteLowestRevision(const std::string& domain, std::int64_t revision);
 
   // Whether this daemon is one of its domain's delegates.
   bool IsDelegate() const;
-  // One of the delegates of another domain, at random; empty if it has none.
+  // A random delegate of another domain; empty if it has none.
   std::string PickDelegateOf(const std::string& domain);
 
  private:
@@ -83,9 +85,9 @@
   DomainWatch& watch_;
   DrainingNews& news_;
   const std::function<void(const std::string&)> prepare_;
-  // How many more heartbeats carry the record of a VM.
+  // How many more heartbeats carry a VM's record, by the VM's name.
   std::map<std::string, int> recent_;
-  // Of other domains.
+  // Lowest active targets revisions of other domains.
   std::map<std::string, std::int64_t> lowest_revisions_;
 };
 
--- a/src/membership/probe_tracker.cc
+++ b/src/membership/probe_tracker.cc
@@ -1,4 +1,4 @@
-// A map of deadlines behind membership::ProbeTracker.
+// Implementation of membership::ProbeTracker.
 
 #include "src/membership/probe_tracker.h"
 
--- a/src/membership/probe_tracker.h
+++ b/src/membership/probe_tracker.h
@@ -1,5 +1,5 @@
-// Probes that have not been answered yet, and what follows from their age:
-// first a suspicion, then the verdict that the VM is gone.
+// Tracks unanswered probes and their timeouts: after the first a VM is
+// suspected, after the second it is gone.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_PROBE_TRACKER_H_
 #define MEDLARSPREAD_MEMBERSHIP_PROBE_TRACKER_H_
@@ -15,13 +15,13 @@
 
 class ProbeTracker {
  public:
-  // A probe that is older than `answer_timeout` raises a suspicion, which
-  // becomes the verdict "gone" after another `suspicion_timeout`.
+  // A probe that is older than `answer_timeout` raises a suspicion. After
+  // another `suspicion_timeout` the VM is gone.
   ProbeTracker(base::Duration answer_timeout, base::Duration suspicion_timeout);
 
-  // Does nothing if a probe to the VM is pending already.
+  // Does nothing if a probe to the VM is already pending.
   void DidProbe(const std::string& name, base::MonotonicTime now);
-  // Any sign of life ends the probe.
+  // A message from the VM ends its probe.
   void DidHear(const std::string& name);
   bool IsPending(const std::string& name) const;
   std::size_t size() const { return pending_.size(); }
@@ -33,8 +33,8 @@
   };
   Verdicts Judge(base::MonotonicTime now);
 
-  // Gives every probe this much more time, because this daemon itself was held
-  // up and may not have seen the answers yet.
+  // Extends the deadline of every probe, because this daemon itself was delayed
+  // and may not have processed the answers yet.
   void Postpone(base::Duration delay);
   void Clear();
 
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -1,10 +1,10 @@
-// What the daemons tell each other of one VM, and which of two such records
-// goes before the other.
+// The record of one VM that daemons exchange, and the order of two such
+// records.
 //
-// A record is ordered by incarnation, then by its heartbeat count, then by
-// state. A VM raises its count only to contradict a record that calls it gone.
-// So a record that calls it gone wins over all that was known of it before, and
-// a VM that is alive can always win it back.
+// Records are ordered by incarnation, then heartbeat count, then state. A VM
+// increases its count only to refute a record that calls it suspected or gone.
+// So a record that calls a VM gone replaces all older ones, and a VM that is
+// alive can always replace it in turn.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_RECORD_H_
 #define MEDLARSPREAD_MEMBERSHIP_RECORD_H_
@@ -16,23 +16,24 @@
 
 using Record = peer::wire::MemberRecord;
 
-// The wire carries the index. A suspected record is a question, "who has heard
-// this VM lately?"; it is answered but never kept.
+// The index is sent on the wire. A record with state kSuspected is a request to
+// probe the VM; it is answered but never stored.
 enum class RecordState { kLive, kLeaving, kSuspected, kGone };
 
-// The wire carries the index.
+// The index is sent on the wire.
 enum class HeartbeatKind {
   // Needs no reply.
   kNews,
-  // To be answered at once with kAnswer, or kTable if the table is wanted.
+  // Must be answered at once with kAnswer, or with kTable if `wants_table` is
+  // set.
   kProbe,
   kAnswer,
-  // Carries the whole table of the sender.
+  // Carries the sender's whole table.
   kTable,
 };
 
-// Values that this version doesn't know count as kNews and kSuspected: neither
-// changes anything.
+// Values unknown to this version are treated as kNews and kSuspected, which
+// change nothing.
 HeartbeatKind KindOf(const peer::wire::Heartbeat& heartbeat);
 RecordState StateOf(const Record& record);
 void SetState(Record& record, RecordState state);
@@ -42,10 +43,10 @@
 // Live or leaving.
 bool IsPresent(const Record& record);
 
-// Whether `candidate` goes before `known`. Both are of the same VM.
+// Whether `candidate` replaces `known`. Both describe the same VM.
 bool IsNewer(const Record& candidate, const Record& known);
 
-// The record as the rest of the daemon sees it.
+// The record in the form that the other modules use.
 blackboard::Member ToMember(const Record& record);
 
 }  // namespace medlarspread::membership
--- a/src/membership/shuffle.h
+++ b/src/membership/shuffle.h
@@ -1,5 +1,5 @@
-// A random order that depends on the injected random source alone, unlike
-// std::shuffle, whose draws differ between libraries.
+// A shuffle that depends on the injected random source alone, unlike
+// std::shuffle, whose results differ between standard libraries.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_SHUFFLE_H_
 #define MEDLARSPREAD_MEMBERSHIP_SHUFFLE_H_
--- a/src/membership/view.cc
+++ b/src/membership/view.cc
@@ -1,4 +1,4 @@
-// Sorts records into members and absent daemons.
+// Divides the known daemons into members and absent ones.
 
 #include "src/membership/view.h"
 
@@ -33,8 +33,9 @@
     const bool is_own_domain =
         record.failure_domain == table.self().failure_domain;
     if (!is_own_domain) {
-      // Of the daemons elsewhere only the lowest revision of each domain is
-      // passed on: it is what decides whether a revision is in force there.
+      // Daemons report the targets revision of other domains only as the
+      // domain's lowest, which is what decides whether a revision is active
+      // there.
       member.targets_revision =
           messenger.LowestRevisionOf(record.failure_domain);
     }
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -1,4 +1,4 @@
-// Composes the membership view for the blackboard out of what membership knows.
+// Composes the blackboard's membership view from the state of membership.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_VIEW_H_
 #define MEDLARSPREAD_MEMBERSHIP_VIEW_H_
@@ -11,10 +11,10 @@
 
 namespace medlarspread::membership {
 
-// 1. Present daemons of domains that can be reached are members, heard ones
-//    also if the platform does not list them (yet).
-// 2. Those of domains that can't be reached, those that are gone but not yet
-//    forgotten, and those that are listed but were never heard, are absent.
+// 1. Members are the present daemons of reachable domains, including those that
+//    the platform's list doesn't contain (yet).
+// 2. Absent are the daemons of unreachable domains, those that are gone and not
+//    yet forgotten, and those that are listed but were never heard from.
 blackboard::MembershipView ComposeView(const MemberTable& table,
                                        const DomainWatch& watch,
                                        const Messenger& messenger,
--- a/src/membership/vm_list.cc
+++ b/src/membership/vm_list.cc
@@ -1,4 +1,4 @@
-// Reads of the platform's list behind membership::VmList.
+// Implementation of membership::VmList.
 
 #include "src/membership/vm_list.h"
 
@@ -23,7 +23,7 @@
   if (std::exchange(is_reading_, true)) {
     return;
   }
-  // The answer arrives on a sequence of the platform client's own.
+  // The answer arrives on the platform client's own sequence.
   read_(timeout_, [self = shared_from_this(), did_read = std::move(did_read)](
                       base::Result<std::vector<store::Vm>> list) {
     self->control_.Post([self, did_read, list = std::move(list)] {
@@ -39,7 +39,9 @@
     return;
   }
   if (!list.is_ok()) {
-    log_.DidFail(list.error(), "membership goes on with what peers say");
+    log_.DidFail(list.error(),
+                 "the VM list was not read; membership continues with peer "
+                 "heartbeats only");
     return;
   }
   was_read_ = true;
--- a/src/membership/vm_list.h
+++ b/src/membership/vm_list.h
@@ -1,5 +1,5 @@
-// The platform's lagging list as this daemon last read it. An outage of the
-// list leaves it as it was.
+// The platform's list of VMs as this daemon last read it. The list may lag
+// behind; a failed read keeps the previous contents.
 
 #ifndef MEDLARSPREAD_MEMBERSHIP_VM_LIST_H_
 #define MEDLARSPREAD_MEMBERSHIP_VM_LIST_H_
@@ -16,7 +16,7 @@
 
 namespace medlarspread::membership {
 
-// A session that keeps itself alive while a read is under way.
+// Keeps itself alive while a read is pending.
 class VmList : public std::enable_shared_from_this<VmList> {
  public:
   using DidRead = std::function<void()>;
@@ -29,17 +29,17 @@
          store::ReadVmList read,
          base::Log log);
 
-  // Reads the list, unless a read is under way. `did_read` runs on success.
+  // Reads the list, unless a read is pending. `did_read` runs on success.
   void Read(DidRead did_read);
-  // No callback runs any more.
+  // No callback runs after this.
   void Close() { is_closed_ = true; }
 
   // Whether the list was read at least once.
   bool was_read() const { return was_read_; }
-  // The other entry VMs on it, by name.
+  // The other entry VMs on the list, by name.
   const std::map<std::string, store::Vm>& others() const { return others_; }
-  // This VM itself is listed as leaving, at its own address: a row with another
-  // one still means a VM that this one has replaced.
+  // Whether this VM is listed as leaving with its current address. A row with
+  // another address describes a VM that this one replaced.
   bool is_self_leaving() const { return is_self_leaving_; }
 
  private:
--- a/tests/membership/draining_news_test.cc
+++ b/tests/membership/draining_news_test.cc
@@ -1,5 +1,5 @@
-// News of draining upstreams is new once, also where clocks disagree a little
-// about its age.
+// Tests that a notice of a draining upstream counts as new only once, even if
+// copies arrive with slightly different ages.
 
 #include "src/membership/draining_news.h"
 
--- a/tests/membership/lease_registration_test.cc
+++ b/tests/membership/lease_registration_test.cc
@@ -1,4 +1,4 @@
-// LeaseRegistration over a scripted store and a manual clock.
+// Tests LeaseRegistration with a fake store and a manual clock.
 
 #include "src/membership/lease_registration.h"
 
@@ -43,7 +43,7 @@
     MakeRegistration();
   }
 
-  // A daemon that has just started.
+  // Replaces the registration by that of a newly started daemon.
   void MakeRegistration() {
     if (registration_) {
       registration_->Stop();
@@ -65,13 +65,14 @@
         base::Log());
   }
 
-  // Starts it and lets it register, which a quarter of a core does after 1.2 s.
+  // Starts the registration and waits until it has registered, which takes 1.2
+  // s with a quarter of a core.
   void StartRegistered() {
     registration_->Start();
     scheduler_->Advance(Milliseconds(1'200));
   }
 
-  // The daemons that this one knows, without itself.
+  // The known daemons without this one.
   std::vector<std::string> Known() {
     registration_->Publish();
     std::vector<std::string> names;
@@ -100,7 +101,7 @@
   int reached_ = 0;
   store::EventSource source_;
   std::string key_;
-  // All that were written.
+  // All keys that were written.
   std::vector<std::string> keys_;
   std::string value_;
   std::int64_t lease_ = 0;
@@ -135,8 +136,9 @@
   EXPECT_EQ(lease_, 2);
 }
 
-// Guards against a daemon that nobody counts, or that keeps another one's lease
-// alive, after the store was restored and has given its lease out again.
+// Guards against a daemon that stays unregistered, or that renews another
+// daemon's lease, after the store was restored and has assigned its lease
+// identifier again.
 TEST_F(LeaseRegistrationTest, RegistersAnewOnceTheStoreWasRestored) {
   StartRegistered();
   is_reader_ = true;
@@ -188,7 +190,7 @@
     EXPECT_FALSE(blackboard_.membership.Read()->members.contains("vm-2"))
         << value;
   }
-  // A share of a core that no VM has counts as not told.
+  // An implausible number of cores is treated as missing.
   registration_->DidChange("vm-2", "s1 10.0.0.2:80 south odd:x 1e300");
   registration_->Publish();
   const auto& member = blackboard_.membership.Read()->members.at("vm-2");
@@ -205,13 +207,13 @@
   EXPECT_EQ(view->members.at("vm-2").failure_domain, "s1");
   EXPECT_EQ(view->members.at("vm-2").address, "10.0.0.2:80");
   registration_->DidChange("vm-2", std::nullopt);
-  // An entry of this daemon itself says nothing new.
+  // An entry of this daemon itself changes nothing.
   registration_->DidChange("vm-1", std::nullopt);
   registration_->Publish();
   EXPECT_EQ(blackboard_.membership.Read()->members.size(), 1U);
 }
 
-// Strong daemons come first, so that the others find somebody to follow.
+// Daemons on large VMs register first, so that the others can follow them.
 TEST_F(LeaseRegistrationTest, TheStrongerAVmTheSoonerItRegisters) {
   registration_->Start();
   scheduler_->Advance(Milliseconds(1'100));
@@ -253,7 +255,7 @@
   EXPECT_EQ(leases_, 1);
 }
 
-// A daemon of another failure domain lists nobody here.
+// A daemon of another failure domain does not list this one.
 TEST_F(LeaseRegistrationTest, AStrongerDaemonElsewhereIsNotFollowed) {
   registration_->Start();
   registration_->DidChange("big", "s1 10.0.0.9:80 south 10.0.0.9:81 1");
@@ -276,7 +278,7 @@
     scheduler_->Advance(Milliseconds(1'000));
   }
   EXPECT_EQ(keys_.size(), written);
-  // One that was silent for as long as a lease lasts is gone.
+  // A follower that was silent for the duration of a lease is removed.
   registration_->DidHearFollower("small-1 n1 10.0.0.2:80 north - 0.1");
   scheduler_->Advance(Milliseconds(12'000));
   EXPECT_EQ(value_, "small-1 n1 10.0.0.2:80 north - 0.1\n");
@@ -296,8 +298,8 @@
   EXPECT_EQ(keys_.size(), written);
 }
 
-// A reader that restarts knows its followers from the store: had it forgotten
-// them, all would count too few daemons until they ask again.
+// A restarted reader takes its followers from the store. Otherwise all daemons
+// would count too few until the followers contact it again.
 TEST_F(LeaseRegistrationTest, AReaderThatRestartsKeepsItsList) {
   const std::string list = "small-1 n1 10.0.0.2:80 north - 0.1\n";
   registration_->Start();
@@ -326,7 +328,7 @@
   EXPECT_EQ(Known(), std::vector<std::string>{"small-1"});
 }
 
-// After its lease has ended a reader writes its list again, under the new one.
+// After its lease has ended, a reader writes its list again under the new one.
 TEST_F(LeaseRegistrationTest, AListBelongsToItsLease) {
   StartRegistered();
   is_reader_ = true;
--- a/tests/membership/membership_controller_test.cc
+++ b/tests/membership/membership_controller_test.cc
@@ -1,5 +1,6 @@
-// Whole memberships of a few daemons through joins, losses, freezes, cuts and a
-// list that lags or is down. The seed is the parameter of each test.
+// Tests membership among a few simulated daemons with joins, failures, freezes,
+// network partitions, and a VM list that lags or is unavailable. The test
+// parameter is the random seed.
 
 #include "src/membership/membership_controller.h"
 
@@ -22,7 +23,7 @@
  protected:
   MembershipControllerTest() : world_(static_cast<std::uint64_t>(GetParam())) {}
 
-  // Three domains in two regions: a and b are near, c is far.
+  // Three domains in two regions: a and b in the north, c in the south.
   void SetUp() override {
     world_.AddDomain("north", "a", 6);
     world_.AddDomain("north", "b", 4);
@@ -37,7 +38,7 @@
                        [&name](const Vm* vm) { return vm->SeesLeaving(name); });
   }
 
-  // Whether every VM has `count` members that are live.
+  // Whether every VM's view has this number of members, by the VM's region.
   bool AllHave(std::size_t north_count, std::size_t south_count) const {
     const auto all = world_.running();
     return std::all_of(all.begin(), all.end(), [&](const Vm* vm) {
@@ -46,7 +47,8 @@
     });
   }
 
-  // As targets does it: whoever sees a higher revision takes it over.
+  // Imitates the targets module: a daemon that sees the higher revision
+  // activates it.
   bool DidAllTakeOver(std::int64_t revision) {
     bool did_all = true;
     for (Vm* vm : world_.running()) {
@@ -236,7 +238,8 @@
   EXPECT_LT(world_.Until(kSettled, [&] { return AllHave(10, 3); }), kSettled);
   world_.Advance(base::Milliseconds(60'000));
   EXPECT_TRUE(AllHave(10, 3));
-  // Each side loses one, one joins, and a new revision comes into force.
+  // Each side loses a VM, one VM joins, and a new targets revision is
+  // activated.
   world_["a-0"].is_dead = true;
   world_["c-0"].is_dead = true;
   world_.Add("b-new", "north", "b");
--- a/tests/membership/world.cc
+++ b/tests/membership/world.cc
@@ -1,4 +1,4 @@
-// Delivery of heartbeats with delays and losses behind the test's World.
+// Implementation of the simulated network and VMs.
 
 #include "tests/membership/world.h"
 
@@ -192,7 +192,7 @@
     target.controller().DidReceiveHeartbeat(sender, heartbeat);
     return;
   }
-  // As the links do: the older incarnation is shown the newer one.
+  // Like the peer links: the older incarnation is notified of the newer one.
   peer::wire::Heartbeat notice;
   notice.others.resize(1);
   notice.others[0].name = sender.name;
--- a/tests/membership/world.h
+++ b/tests/membership/world.h
@@ -1,5 +1,6 @@
-// A handful of membership controllers with fake links between them, all driven
-// by hand: time, delays, cuts, frozen and killed VMs, and the platform's list.
+// A simulation of several membership controllers with fake links. The test
+// controls time, delays, partitions, frozen and killed VMs, and the platform's
+// VM list.
 
 #ifndef MEDLARSPREAD_TESTS_MEMBERSHIP_WORLD_H_
 #define MEDLARSPREAD_TESTS_MEMBERSHIP_WORLD_H_
@@ -18,7 +19,7 @@
 
 class World;
 
-// One daemon. Its VM has a scheduler of its own, so that it can be frozen.
+// A VM with one daemon. It has its own scheduler, so that it can be frozen.
 class Vm {
  public:
   Vm(World& world, const MembershipSettings& settings);
@@ -28,7 +29,7 @@
   std::shared_ptr<const blackboard::MembershipView> view() const {
     return blackboard_.membership.Read();
   }
-  // Whether it takes the VM for a live (leaving) member.
+  // Whether the VM is a live (or leaving) member in this daemon's view.
   bool Sees(const std::string& name) const;
   bool SeesLeaving(const std::string& name) const;
   void SetTargets(std::int64_t revision);
@@ -38,11 +39,11 @@
 
   bool is_frozen = false;
   bool is_dead = false;
-  // What the callbacks were told.
+  // Arguments that the callbacks received.
   std::map<std::string, std::int64_t> seen_targets;
   std::vector<std::string> heard_draining;
   std::int64_t stepped_aside_for = 0;
-  // As the links keep it: the newest incarnation heard of each name.
+  // The newest incarnation received by name, as the peer links track it.
   std::map<std::string, std::int64_t> newest_incarnations;
 
  private:
@@ -57,24 +58,25 @@
  public:
   explicit World(std::uint64_t seed) : seed_(seed), random_(seed) {}
 
-  // Starts a daemon and lists it. Without an address it gets one of its own.
+  // Starts a daemon and adds it to the list. Without `address` it gets one made
+  // from its name and incarnation.
   Vm& Add(const std::string& name,
           const std::string& region,
           const std::string& domain,
           std::int64_t incarnation = 1,
           const std::string& address = "");
-  // `count` daemons named <domain>-<index>.
+  // Adds `count` daemons named <domain>-<index>.
   void AddDomain(const std::string& region,
                  const std::string& domain,
                  int count);
 
   void Advance(base::Duration duration);
-  // Advances until the condition holds; returns how long that took, or the
-  // bound if it never did.
+  // Advances until the condition holds. Returns the time that took, or `bound`
+  // if it never did.
   base::Duration Until(base::Duration bound,
                        const std::function<bool()>& condition);
 
-  // All that run and are not frozen.
+  // All VMs that run and are not frozen.
   std::vector<Vm*> running() const;
   // The latest VM of that name.
   Vm& operator[](const std::string& name) { return *by_name_.at(name); }
@@ -84,7 +86,7 @@
   bool NobodySees(const std::string& name,
                   const std::string& domain = "") const;
 
-  // Messages between the two regions are lost from now on.
+  // Drops all messages between the two regions from now on.
   void Cut(const std::string& region, const std::string& other) {
     cuts_.insert({region, other});
     cuts_.insert({other, region});
@@ -93,7 +95,7 @@
 
   std::shared_ptr<base::ManualTime> time =
       std::make_shared<base::ManualTime>(1'000'000, 0);
-  // The platform's list, kept by hand.
+  // The platform's VM list, changed by the tests directly.
   std::map<std::string, store::Vm> listed;
   bool is_list_down = false;
   int list_reads = 0;
