--- a/bench/membership/scale.cc
+++ b/bench/membership/scale.cc
@@ -155,9 +155,9 @@
 // fellows, and probes from the delegates of other domains.
 void Scale::ScheduleSummaries() {
   control_.After(kSummaryInterval, [this] {
-    Receive(MakeRecord(0, 0), HeartbeatKind::kNews, true);
+    Receive(MakeRecord(0, 0), HeartbeatKind::kUpdate, true);
     if (options_.is_delegate) {
-      Receive(MakeRecord(0, 1), HeartbeatKind::kNews, true);
+      Receive(MakeRecord(0, 1), HeartbeatKind::kUpdate, true);
       for (int probe = 0; probe < kForeignProbes; ++probe) {
         const int domain =
             1 + static_cast<int>(random_.Below(options_.domains - 1));
@@ -272,7 +272,7 @@
   for (int change = 0; change < kChanges; ++change) {
     membership::Record record = MakeRecord(1, change % options_.members);
     record.incarnation += 1 + change;
-    Receive(record, HeartbeatKind::kNews, false);
+    Receive(record, HeartbeatKind::kUpdate, false);
     scheduler_->Advance(base::Milliseconds(25));
   }
   std::printf("cpu_us_per_change %.0f\n",
--- a/src/daemon/controllers.cc
+++ b/src/daemon/controllers.cc
@@ -153,7 +153,7 @@
                                        base::Duration age) {
     upstreams_.DidHearDraining(upstream, age);
   };
-  callbacks.did_step_aside = [this](std::int64_t newer_incarnation) {
+  callbacks.did_get_replaced = [this](std::int64_t newer_incarnation) {
     log_.Write({.level = base::LogLevel::kError,
                 .step = base::Step::kMembership,
                 .message = "a newer process runs under this VM's name "
--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -48,7 +48,7 @@
 // have registered, and well before it would register itself.
 base::Duration FirstWait(const settings::VmSettings& vm) {
   constexpr int kPercent = 70;
-  return membership::RegistrationWait({}, vm.processor_share) * kPercent / 100;
+  return membership::RegistrationDelay({}, vm.processor_share) * kPercent / 100;
 }
 
 std::vector<std::string> ParseAddresses(std::string text) {
--- a/src/membership/daemon_entry.cc
+++ b/src/membership/daemon_entry.cc
@@ -15,9 +15,9 @@
 // Placeholder for a daemon without a query address.
 constexpr std::string_view kNoAddress = "-";
 // Values above this are more cores than any VM has and are ignored.
-constexpr double kMostCores = 1'000.0;
+constexpr double kMaxCores = 1'000.0;
 // Entries with longer names are rejected.
-constexpr std::size_t kLongestName = 150;
+constexpr std::size_t kMaxNameLength = 150;
 
 // Whether the text has the form "host:port".
 bool IsAddress(const std::string& text) {
@@ -48,11 +48,11 @@
   std::istringstream words(value);
   words >> member.failure_domain >> member.address >> member.region >>
       member.query_address;
-  if (name.empty() || name.size() > kLongestName ||
+  if (name.empty() || name.size() > kMaxNameLength ||
       !IsAddress(member.address)) {
     return std::nullopt;
   }
-  if (double share = 0.0; words >> share && share > 0.0 && share < kMostCores) {
+  if (double share = 0.0; words >> share && share > 0.0 && share < kMaxCores) {
     member.processor_share = share;
   }
   if (!IsAddress(member.query_address)) {
--- a/src/membership/domain_prober.cc
+++ b/src/membership/domain_prober.cc
@@ -12,20 +12,21 @@
                            const base::Clock& clock,
                            base::Random& random,
                            MemberTable& table,
-                           DomainWatch& watch,
+                           DomainReachability& reachability,
                            Messenger& messenger,
                            FailureDetector& detector)
     : settings_(settings),
       clock_(clock),
       random_(random),
       table_(table),
-      watch_(watch),
+      reachability_(reachability),
       messenger_(messenger),
       detector_(detector),
       probes_(settings.answer_timeout, settings.suspicion_timeout) {}
 
-bool DomainProber::DidStartRound() {
-  for (const std::string& name : probes_.Judge(clock_.Now()).suspected) {
+bool DomainProber::RunRound() {
+  for (const std::string& name :
+       probes_.CheckTimeouts(clock_.Now()).suspected) {
     Suspect(name);
   }
   if (clock_.Now() >= next_probe_) {
@@ -33,27 +34,27 @@
     ProbeNextDomain();
   }
   ProbeFailingDomains();
-  return watch_.Judge(clock_.Now());
+  return reachability_.MarkUnreachable(clock_.Now());
 }
 
 void DomainProber::ProbeNextDomain() {
-  if (turn_.empty()) {
-    turn_ = table_.Domains();
-    std::erase(turn_, table_.self().failure_domain);
-    Shuffle(turn_, random_);
+  if (remaining_.empty()) {
+    remaining_ = table_.Domains();
+    std::erase(remaining_, table_.self().failure_domain);
+    Shuffle(remaining_, random_);
   }
-  if (turn_.empty()) {
+  if (remaining_.empty()) {
     return;
   }
-  Probe(messenger_.PickDelegateOf(turn_.back()));
-  turn_.pop_back();
+  Probe(messenger_.PickDelegateOf(remaining_.back()));
+  remaining_.pop_back();
 }
 
 // Probes a random daemon of each failing domain instead of a delegate: the
 // delegates may be what failed.
 void DomainProber::ProbeFailingDomains() {
-  for (const std::string& domain : watch_.Failing()) {
-    if (!watch_.IsReachable(domain)) {
+  for (const std::string& domain : reachability_.Failing()) {
+    if (!reachability_.IsReachable(domain)) {
       // Already known to be unreachable; the regular probes are enough.
       continue;
     }
@@ -81,11 +82,12 @@
     return;
   }
   const base::MonotonicTime now = clock_.Now();
-  watch_.DidFail(record->failure_domain, now - settings_.answer_timeout, now);
-  auto fellows =
+  reachability_.DidFail(record->failure_domain, now - settings_.answer_timeout,
+                        now);
+  auto other_delegates =
       table_.DelegatesOf(table_.self().failure_domain, settings_.delegates);
-  std::erase(fellows, table_.self().name);
-  detector_.AskAbout(name, std::move(fellows));
+  std::erase(other_delegates, table_.self().name);
+  detector_.ProbeIndirectly(name, std::move(other_delegates));
 }
 
 void DomainProber::DidHear(const std::string& name) {
@@ -98,7 +100,7 @@
 
 void DomainProber::Clear() {
   probes_.Clear();
-  watch_.Restart(clock_.Now());
+  reachability_.Restart(clock_.Now());
 }
 
 }  // namespace medlarspread::membership
--- a/src/membership/domain_prober.h
+++ b/src/membership/domain_prober.h
@@ -10,7 +10,7 @@
 
 #include "src/base/clock.h"
 #include "src/base/random.h"
-#include "src/membership/domain_watch.h"
+#include "src/membership/domain_reachability.h"
 #include "src/membership/failure_detector.h"
 #include "src/membership/member_table.h"
 #include "src/membership/membership_settings.h"
@@ -26,12 +26,12 @@
                const base::Clock& clock,
                base::Random& random,
                MemberTable& table,
-               DomainWatch& watch,
+               DomainReachability& reachability,
                Messenger& messenger,
                FailureDetector& detector);
 
   // Runs one round of probes. Returns whether a domain became unreachable.
-  bool DidStartRound();
+  bool RunRound();
   // A message came from a VM of another domain.
   void DidHear(const std::string& name);
   void Postpone(base::Duration delay);
@@ -47,12 +47,12 @@
   const base::Clock clock_;
   base::Random& random_;
   MemberTable& table_;
-  DomainWatch& watch_;
+  DomainReachability& reachability_;
   Messenger& messenger_;
   FailureDetector& detector_;
   ProbeTracker probes_;
   // Domains still to be probed in this pass.
-  std::vector<std::string> turn_;
+  std::vector<std::string> remaining_;
   base::MonotonicTime next_probe_;
 };
 
--- a/src/membership/domain_watch.cc
+++ b/src/membership/domain_reachability.cc
@@ -1,15 +1,15 @@
-// Implementation of membership::DomainWatch.
+// Implementation of membership::DomainReachability.
 
-#include "src/membership/domain_watch.h"
+#include "src/membership/domain_reachability.h"
 
 #include <algorithm>
 
 namespace medlarspread::membership {
 
-DomainWatch::DomainWatch(base::Duration grace) : grace_(grace) {}
+DomainReachability::DomainReachability(base::Duration grace) : grace_(grace) {}
 
-bool DomainWatch::DidHear(const std::string& domain,
-                          base::MonotonicTime heard_at) {
+bool DomainReachability::DidHear(const std::string& domain,
+                                 base::MonotonicTime heard_at) {
   const auto [row, is_first] = heard_at_.try_emplace(domain, heard_at);
   if (!is_first && heard_at <= row->second) {
     return false;
@@ -25,9 +25,9 @@
   return unreachable_.erase(domain) > 0;
 }
 
-void DomainWatch::DidFail(const std::string& domain,
-                          base::MonotonicTime sent_at,
-                          base::MonotonicTime now) {
+void DomainReachability::DidFail(const std::string& domain,
+                                 base::MonotonicTime sent_at,
+                                 base::MonotonicTime now) {
   const auto heard = heard_at_.find(domain);
   if (heard != heard_at_.end() && heard->second > sent_at) {
     return;
@@ -35,7 +35,7 @@
   failing_since_.try_emplace(domain, now);
 }
 
-bool DomainWatch::Judge(base::MonotonicTime now) {
+bool DomainReachability::MarkUnreachable(base::MonotonicTime now) {
   bool has_changed = false;
   for (const auto& [domain, since] : failing_since_) {
     if (now - since >= grace_) {
@@ -45,7 +45,8 @@
   return has_changed;
 }
 
-bool DomainWatch::SetUnreachable(const std::vector<std::string>& domains) {
+bool DomainReachability::SetUnreachable(
+    const std::vector<std::string>& domains) {
   std::set<std::string> told(domains.begin(), domains.end());
   if (told == unreachable_) {
     return false;
@@ -54,17 +55,17 @@
   return true;
 }
 
-void DomainWatch::Restart(base::MonotonicTime now) {
+void DomainReachability::Restart(base::MonotonicTime now) {
   for (auto& [domain, since] : failing_since_) {
     since = now;
   }
 }
 
-bool DomainWatch::IsReachable(const std::string& domain) const {
+bool DomainReachability::IsReachable(const std::string& domain) const {
   return !unreachable_.contains(domain);
 }
 
-std::vector<std::string> DomainWatch::Failing() const {
+std::vector<std::string> DomainReachability::Failing() const {
   std::vector<std::string> domains;
   for (const auto& [domain, since] : failing_since_) {
     domains.push_back(domain);
@@ -72,12 +73,12 @@
   return domains;
 }
 
-std::vector<std::string> DomainWatch::Unreachable() const {
+std::vector<std::string> DomainReachability::Unreachable() const {
   return {unreachable_.begin(), unreachable_.end()};
 }
 
-base::Duration DomainWatch::AgeOf(const std::string& domain,
-                                  base::MonotonicTime now) const {
+base::Duration DomainReachability::AgeOf(const std::string& domain,
+                                         base::MonotonicTime now) const {
   const auto heard = heard_at_.find(domain);
   return heard == heard_at_.end() ? base::Duration::max() : now - heard->second;
 }
--- a/src/membership/domain_watch.h
+++ b/src/membership/domain_reachability.h
@@ -7,8 +7,8 @@
 // their records are kept unchanged and are updated once the domain is reachable
 // again.
 
-#ifndef MEDLARSPREAD_MEMBERSHIP_DOMAIN_WATCH_H_
-#define MEDLARSPREAD_MEMBERSHIP_DOMAIN_WATCH_H_
+#ifndef MEDLARSPREAD_MEMBERSHIP_DOMAIN_REACHABILITY_H_
+#define MEDLARSPREAD_MEMBERSHIP_DOMAIN_REACHABILITY_H_
 
 #include <cstdint>
 #include <map>
@@ -20,10 +20,10 @@
 
 namespace medlarspread::membership {
 
-class DomainWatch {
+class DomainReachability {
  public:
   // `grace` is how long a domain may be silent after the first failed probe.
-  explicit DomainWatch(base::Duration grace);
+  explicit DomainReachability(base::Duration grace);
 
   // A message from the domain arrived at `heard_at`. Returns whether the domain
   // was unreachable until now.
@@ -35,7 +35,7 @@
 
   // Marks domains whose grace period is over as unreachable. Returns whether
   // there were any.
-  bool Judge(base::MonotonicTime now);
+  bool MarkUnreachable(base::MonotonicTime now);
 
   // Replaces the set of unreachable domains by that of a delegate. Returns
   // whether it changed.
@@ -62,4 +62,4 @@
 
 }  // namespace medlarspread::membership
 
-#endif  // MEDLARSPREAD_MEMBERSHIP_DOMAIN_WATCH_H_
+#endif  // MEDLARSPREAD_MEMBERSHIP_DOMAIN_REACHABILITY_H_
--- a/src/membership/draining_news.cc
+++ b/src/membership/draining_notices.cc
@@ -1,6 +1,6 @@
-// Implementation of membership::DrainingNews.
+// Implementation of membership::DrainingNotices.
 
-#include "src/membership/draining_news.h"
+#include "src/membership/draining_notices.h"
 
 #include <algorithm>
 #include <chrono>
@@ -12,16 +12,17 @@
 // Two notices closer together than this are copies of one. It exceeds the time
 // that all hops take, and is shorter than the time for which a drained upstream
 // gets no requests (UpstreamSettings::draining_hold).
-constexpr base::Duration kSameNews = base::Milliseconds(5'000);
+constexpr base::Duration kDuplicateWindow = base::Milliseconds(5'000);
 
 }  // namespace
 
-DrainingNews::DrainingNews(base::Duration lifetime, std::size_t max_passed_on)
+DrainingNotices::DrainingNotices(base::Duration lifetime,
+                                 std::size_t max_passed_on)
     : lifetime_(lifetime), max_passed_on_(max_passed_on) {}
 
-bool DrainingNews::Add(const std::string& upstream,
-                       base::Duration age,
-                       base::MonotonicTime now) {
+bool DrainingNotices::Add(const std::string& upstream,
+                          base::Duration age,
+                          base::MonotonicTime now) {
   if (upstream.empty() || age >= lifetime_ || age < base::Duration(0)) {
     return false;
   }
@@ -33,14 +34,14 @@
   // NOTE: ages don't include the time in transit, so copies of a notice arrive
   // with slightly later times. A larger difference means that the upstream came
   // back and is draining again.
-  if (heard_at - row->second < kSameNews) {
+  if (heard_at - row->second < kDuplicateWindow) {
     return false;
   }
   row->second = heard_at;
   return true;
 }
 
-std::map<std::string, std::int32_t> DrainingNews::Current(
+std::map<std::string, std::int32_t> DrainingNotices::Current(
     base::MonotonicTime now) {
   // Notices are kept for twice the time that they are passed on: another daemon
   // may hold a slightly younger copy and still pass it on, which must not count
--- a/src/membership/draining_news.h
+++ b/src/membership/draining_notices.h
@@ -2,8 +2,8 @@
 // piggybacked on heartbeats for a limited time, so that daemons that missed the
 // first message receive them too.
 
-#ifndef MEDLARSPREAD_MEMBERSHIP_DRAINING_NEWS_H_
-#define MEDLARSPREAD_MEMBERSHIP_DRAINING_NEWS_H_
+#ifndef MEDLARSPREAD_MEMBERSHIP_DRAINING_NOTICES_H_
+#define MEDLARSPREAD_MEMBERSHIP_DRAINING_NOTICES_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -14,10 +14,10 @@
 
 namespace medlarspread::membership {
 
-class DrainingNews {
+class DrainingNotices {
  public:
   // Notices are passed on for `lifetime`, at most `max_passed_on` at a time.
-  DrainingNews(base::Duration lifetime, std::size_t max_passed_on);
+  DrainingNotices(base::Duration lifetime, std::size_t max_passed_on);
 
   // Returns whether the notice is new: the upstream has none, or its last one
   // is so much older that this can't be a copy that arrived by another path.
@@ -37,4 +37,4 @@
 
 }  // namespace medlarspread::membership
 
-#endif  // MEDLARSPREAD_MEMBERSHIP_DRAINING_NEWS_H_
+#endif  // MEDLARSPREAD_MEMBERSHIP_DRAINING_NOTICES_H_
--- a/src/membership/failure_detector.cc
+++ b/src/membership/failure_detector.cc
@@ -28,7 +28,7 @@
     is_successor_next_ = !is_successor_next_;
     std::string name = is_successor_next_ ? Successor() : std::string();
     if (name.empty() || probes_.IsPending(name)) {
-      name = NextInTurn();
+      name = NextInRotation();
     }
     if (!name.empty()) {
       Probe(name);
@@ -54,24 +54,24 @@
 }
 
 // The next present daemon without a pending probe; empty if there is none.
-std::string FailureDetector::NextInTurn() {
+std::string FailureDetector::NextInRotation() {
   for (bool is_second_pass : {false, true}) {
-    while (!turn_.empty()) {
-      const std::string name = std::move(turn_.back());
-      turn_.pop_back();
+    while (!remaining_.empty()) {
+      const std::string name = std::move(remaining_.back());
+      remaining_.pop_back();
       if (table_.IsPresentMember(name) && !probes_.IsPending(name)) {
         return name;
       }
     }
     if (!is_second_pass) {
-      turn_ = table_.PresentIn(table_.self().failure_domain);
-      Shuffle(turn_, random_);
+      remaining_ = table_.PresentIn(table_.self().failure_domain);
+      Shuffle(remaining_, random_);
     }
   }
   return "";
 }
 
-void FailureDetector::TryAbsent(const std::string& name) {
+void FailureDetector::ProbeAbsent(const std::string& name) {
   messenger_.Send(name, messenger_.Compose(HeartbeatKind::kProbe));
 }
 
@@ -79,44 +79,46 @@
   probes_.DidHear(name);
 }
 
-void FailureDetector::DidConfirm(const std::string& name) {
+void FailureDetector::DidRefute(const std::string& name) {
   probes_.DidHear(name);
-  const auto row = askers_.find(name);
+  const auto row = requesters_.find(name);
   const Record* record = table_.Find(name);
-  if (row == askers_.end() || record == nullptr) {
+  if (row == requesters_.end() || record == nullptr) {
     return;
   }
-  for (const std::string& asker : row->second.names) {
-    peer::wire::Heartbeat heartbeat = messenger_.Compose(HeartbeatKind::kNews);
+  for (const std::string& requester : row->second.names) {
+    peer::wire::Heartbeat heartbeat =
+        messenger_.Compose(HeartbeatKind::kUpdate);
     heartbeat.others = {*record};
-    messenger_.Send(asker, std::move(heartbeat));
+    messenger_.Send(requester, std::move(heartbeat));
   }
-  askers_.erase(row);
+  requesters_.erase(row);
 }
 
-void FailureDetector::DidAsk(const Record& suspected,
-                             const std::string& asker) {
+void FailureDetector::DidRequestProbe(const Record& suspected,
+                                      const std::string& requester) {
   const Record* known = table_.Find(suspected.name);
   if (known == nullptr || suspected.name == table_.self().name) {
     return;
   }
   if (IsPresent(*known) && IsNewer(*known, suspected)) {
     // The daemon has already refuted this suspicion.
-    peer::wire::Heartbeat heartbeat = messenger_.Compose(HeartbeatKind::kNews);
+    peer::wire::Heartbeat heartbeat =
+        messenger_.Compose(HeartbeatKind::kUpdate);
     heartbeat.others = {*known};
-    messenger_.Send(asker, std::move(heartbeat));
+    messenger_.Send(requester, std::move(heartbeat));
     return;
   }
-  Askers& askers = askers_[suspected.name];
-  askers.names.insert(asker);
-  askers.expires = clock_.Now() + settings_.suspicion_timeout;
+  ProbeRequesters& requesters = requesters_[suspected.name];
+  requesters.names.insert(requester);
+  requesters.expires = clock_.Now() + settings_.suspicion_timeout;
   peer::wire::Heartbeat probe = messenger_.Compose(HeartbeatKind::kProbe);
   probe.others = {suspected};
   messenger_.Send(suspected.name, std::move(probe));
 }
 
-void FailureDetector::AskAbout(const std::string& name,
-                               std::vector<std::string> helpers) {
+void FailureDetector::ProbeIndirectly(const std::string& name,
+                                      std::vector<std::string> helpers) {
   const Record* known = table_.Find(name);
   if (known == nullptr) {
     return;
@@ -126,7 +128,7 @@
   peer::wire::Heartbeat probe = messenger_.Compose(HeartbeatKind::kProbe);
   probe.others = {suspected};
   messenger_.Send(name, probe);
-  peer::wire::Heartbeat question = messenger_.Compose(HeartbeatKind::kNews);
+  peer::wire::Heartbeat question = messenger_.Compose(HeartbeatKind::kUpdate);
   question.others = {suspected};
   std::erase(helpers, name);
   for (const std::string& helper : helpers) {
@@ -134,16 +136,16 @@
   }
 }
 
-bool FailureDetector::Judge() {
+bool FailureDetector::CheckTimeouts() {
   const base::MonotonicTime now = clock_.Now();
-  std::erase_if(askers_,
+  std::erase_if(requesters_,
                 [now](const auto& row) { return row.second.expires < now; });
-  const ProbeTracker::Verdicts verdicts = probes_.Judge(now);
-  for (const std::string& name : verdicts.suspected) {
+  const ProbeTracker::TimedOut timed_out = probes_.CheckTimeouts(now);
+  for (const std::string& name : timed_out.suspected) {
     Suspect(name);
   }
-  DeclareGone(verdicts.gone);
-  return !verdicts.gone.empty();
+  DeclareGone(timed_out.gone);
+  return !timed_out.gone.empty();
 }
 
 void FailureDetector::Suspect(const std::string& name) {
@@ -153,7 +155,7 @@
   if (helpers.size() > settings_.helpers) {
     helpers.resize(settings_.helpers);
   }
-  AskAbout(name, std::move(helpers));
+  ProbeIndirectly(name, std::move(helpers));
 }
 
 void FailureDetector::DeclareGone(const std::vector<std::string>& names) {
@@ -189,7 +191,7 @@
 
 void FailureDetector::Clear() {
   probes_.Clear();
-  askers_.clear();
+  requesters_.clear();
 }
 
 }  // namespace medlarspread::membership
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -49,21 +49,22 @@
   // order of names and a random one.
   void ProbeNext(std::size_t count);
   // Sends one probe, without a timeout, to a daemon that may be gone.
-  void TryAbsent(const std::string& name);
+  void ProbeAbsent(const std::string& name);
 
   // A message came from the daemon itself.
   void DidHear(const std::string& name);
   // The daemon has refuted a suspicion, as learned from itself or from others.
-  void DidConfirm(const std::string& name);
-  // `asker` asks this daemon to probe a suspected VM on its behalf.
-  void DidAsk(const Record& suspected, const std::string& asker);
+  void DidRefute(const std::string& name);
+  // `requester` asks this daemon to probe a suspected VM on its behalf.
+  void DidRequestProbe(const Record& suspected, const std::string& requester);
 
   // Probes the daemon with the suspicion attached and asks `helpers` to do so
   // too.
-  void AskAbout(const std::string& name, std::vector<std::string> helpers);
+  void ProbeIndirectly(const std::string& name,
+                       std::vector<std::string> helpers);
 
   // Handles probes that timed out. Returns whether a daemon was declared gone.
-  bool Judge();
+  bool CheckTimeouts();
 
   // Extends all timeouts by `delay`, for which this daemon itself was delayed.
   void Postpone(base::Duration delay);
@@ -73,14 +74,14 @@
  private:
   // The daemons that asked for a probe of one VM, and when their requests
   // expire.
-  struct Askers {
+  struct ProbeRequesters {
     std::set<std::string> names;
     base::MonotonicTime expires;
   };
 
   void Probe(const std::string& name);
   std::string Successor() const;
-  std::string NextInTurn();
+  std::string NextInRotation();
   void Suspect(const std::string& name);
   void DeclareGone(const std::vector<std::string>& names);
 
@@ -93,8 +94,8 @@
   ProbeTracker probes_;
   bool is_successor_next_ = false;
   // Daemons still to be probed in this pass over the domain.
-  std::vector<std::string> turn_;
-  std::map<std::string, Askers> askers_;
+  std::vector<std::string> remaining_;
+  std::map<std::string, ProbeRequesters> requesters_;
 };
 
 }  // namespace medlarspread::membership
--- a/src/membership/follower_list.cc
+++ b/src/membership/follower_list.cc
@@ -8,19 +8,19 @@
 
 // A failure domain has about a hundred daemons. The limit keeps a peer that
 // sends made-up names from filling the key in the store.
-constexpr std::size_t kMostFollowers = 2'000;
+constexpr std::size_t kMaxFollowers = 2'000;
 
 }  // namespace
 
 void FollowerList::DidHear(const blackboard::Member& member,
                            base::MonotonicTime now) {
-  if (rows_.size() < kMostFollowers || rows_.contains(member.name)) {
+  if (rows_.size() < kMaxFollowers || rows_.contains(member.name)) {
     rows_[member.name] = {member, now};
   }
 }
 
-void FollowerList::DidReadOwn(const std::vector<blackboard::Member>& members,
-                              base::MonotonicTime now) {
+void FollowerList::DidReadStored(const std::vector<blackboard::Member>& members,
+                                 base::MonotonicTime now) {
   for (const blackboard::Member& member : members) {
     if (!rows_.contains(member.name)) {
       DidHear(member, now);
@@ -30,7 +30,7 @@
 
 std::vector<blackboard::Member> FollowerList::Current(base::MonotonicTime now) {
   std::erase_if(rows_, [&](const auto& row) {
-    return now - row.second.heard > kept_for_;
+    return now - row.second.heard > retention_;
   });
   std::vector<blackboard::Member> members;
   members.reserve(rows_.size());
--- a/src/membership/follower_list.h
+++ b/src/membership/follower_list.h
@@ -24,13 +24,13 @@
 
 class FollowerList {
  public:
-  // `kept_for` is how long a silent follower still counts.
-  explicit FollowerList(base::Duration kept_for) : kept_for_(kept_for) {}
+  // `retention` is how long a silent follower still counts.
+  explicit FollowerList(base::Duration retention) : retention_(retention) {}
 
   void DidHear(const blackboard::Member& member, base::MonotonicTime now);
   // Takes in the list that an earlier start of this daemon left in the store.
-  void DidReadOwn(const std::vector<blackboard::Member>& members,
-                  base::MonotonicTime now);
+  void DidReadStored(const std::vector<blackboard::Member>& members,
+                     base::MonotonicTime now);
   // Drops followers that have been silent for too long and returns the others.
   std::vector<blackboard::Member> Current(base::MonotonicTime now);
 
@@ -40,7 +40,7 @@
     base::MonotonicTime heard;
   };
 
-  const base::Duration kept_for_;
+  const base::Duration retention_;
   // By name.
   std::map<std::string, Row> rows_;
 };
--- a/src/membership/heartbeat_handling.cc
+++ b/src/membership/heartbeat_handling.cc
@@ -70,11 +70,10 @@
   if (result == MergeResult::kRevisionChanged) {
     MarkChanged();
   }
-  if (result == MergeResult::kConfirmed ||
-      result == MergeResult::kStateChanged) {
+  if (result == MergeResult::kRefuted || result == MergeResult::kStateChanged) {
     MarkChanged();
     messenger_.AddRecent(record.name);
-    detector_.DidConfirm(record.name);
+    detector_.DidRefute(record.name);
   }
   if (result == MergeResult::kStateChanged) {
     PassOn({record}, is_own_domain(record.failure_domain));
@@ -83,7 +82,7 @@
 }
 
 void MembershipCore::DidHearDomain(const std::string& domain) {
-  if (is_own_domain(domain) || !watch_.DidHear(domain, clock_.Now())) {
+  if (is_own_domain(domain) || !reachability_.DidHear(domain, clock_.Now())) {
     return;
   }
   log_.Write({.level = base::LogLevel::kInfo,
@@ -97,9 +96,9 @@
   std::vector<Record> changed;
   for (const Record& record : heartbeat.others) {
     if (StateOf(record) == RecordState::kSuspected) {
-      detector_.DidAsk(record, heartbeat.sender.name);
+      detector_.DidRequestProbe(record, heartbeat.sender.name);
     }
-    MergeOne(record, heartbeat.sender.name, changed);
+    MergeRecord(record, heartbeat.sender.name, changed);
     if (!is_running_) {
       return;
     }
@@ -117,9 +116,9 @@
   PassOn(changed, is_own_domain(heartbeat.sender.failure_domain));
 }
 
-void MembershipCore::MergeOne(const Record& record,
-                              const std::string& from,
-                              std::vector<Record>& changed) {
+void MembershipCore::MergeRecord(const Record& record,
+                                 const std::string& from,
+                                 std::vector<Record>& changed) {
   switch (table_.Merge(record, clock_.Now())) {
     case MergeResult::kUnchanged:
     case MergeResult::kOutdated:
@@ -127,10 +126,10 @@
     case MergeResult::kRevisionChanged:
       MarkChanged();
       return;
-    case MergeResult::kConfirmed:
+    case MergeResult::kRefuted:
       prober_.DidHear(record.name);
       DidHearDomain(record.failure_domain);
-      detector_.DidConfirm(record.name);
+      detector_.DidRefute(record.name);
       messenger_.AddRecent(record.name);
       return;
     case MergeResult::kStateChanged:
@@ -140,21 +139,21 @@
         return;
       }
       if (IsPresent(record)) {
-        detector_.DidConfirm(record.name);
+        detector_.DidRefute(record.name);
       }
       changed.push_back(*table_.Find(record.name));
       return;
-    case MergeResult::kSelfContradicted:
+    case MergeResult::kSelfRefuted:
       // The daemon that suspects this one is told at once, the others in the
       // next round.
       is_announcement_due_ =
           is_announcement_due_ || StateOf(record) == RecordState::kGone;
       if (!from.empty() && from != settings_.name) {
-        messenger_.Send(from, messenger_.Compose(HeartbeatKind::kNews));
+        messenger_.Send(from, messenger_.Compose(HeartbeatKind::kUpdate));
       }
       return;
     case MergeResult::kSelfReplaced:
-      StepAside(record.incarnation);
+      HandleReplacement(record.incarnation);
       return;
   }
 }
@@ -175,18 +174,18 @@
 }
 
 void MembershipCore::MergeDraining(const Heartbeat& heartbeat) {
-  bool is_news = false;
+  bool has_new_notice = false;
   for (const auto& [upstream, age_ms] : heartbeat.draining_upstreams) {
     const base::Duration age = base::Milliseconds(age_ms);
-    if (!news_.Add(upstream, age, clock_.Now())) {
+    if (!notices_.Add(upstream, age, clock_.Now())) {
       continue;
     }
-    is_news = true;
+    has_new_notice = true;
     if (callbacks_.did_hear_draining) {
       callbacks_.did_hear_draining(upstream, age);
     }
   }
-  if (is_news && !is_own_domain(heartbeat.sender.failure_domain)) {
+  if (has_new_notice && !is_own_domain(heartbeat.sender.failure_domain)) {
     messenger_.SpreadInDomain({});
   }
 }
@@ -198,10 +197,12 @@
   }
   const auto delegates =
       table_.DelegatesOf(settings_.failure_domain, settings_.delegates);
-  const bool is_heeded = KindOf(heartbeat) == HeartbeatKind::kTable ||
-                         std::find(delegates.begin(), delegates.end(),
-                                   heartbeat.sender.name) != delegates.end();
-  if (is_heeded && watch_.SetUnreachable(heartbeat.unreachable_domains)) {
+  const bool is_authoritative =
+      KindOf(heartbeat) == HeartbeatKind::kTable ||
+      std::find(delegates.begin(), delegates.end(), heartbeat.sender.name) !=
+          delegates.end();
+  if (is_authoritative &&
+      reachability_.SetUnreachable(heartbeat.unreachable_domains)) {
     MarkChanged();
   }
 }
@@ -219,7 +220,7 @@
   if (wanted.empty()) {
     return;
   }
-  Heartbeat request = messenger_.Compose(HeartbeatKind::kNews);
+  Heartbeat request = messenger_.Compose(HeartbeatKind::kUpdate);
   request.wanted_domains = std::move(wanted);
   messenger_.Send(heartbeat.sender.name, std::move(request));
 }
@@ -233,13 +234,13 @@
   const base::MonotonicTime now = clock_.Now();
   const base::Duration age =
       base::Milliseconds(summary.age_ms) + kRelayAllowance;
-  if (is_from_domain || age < watch_.AgeOf(domain, now)) {
+  if (is_from_domain || age < reachability_.AgeOf(domain, now)) {
     if (messenger_.LowestRevisionOf(domain) != summary.lowest_revision) {
-      messenger_.NoteLowestRevision(domain, summary.lowest_revision);
+      messenger_.SetLowestRevision(domain, summary.lowest_revision);
       MarkChanged();
     }
   }
-  if (watch_.DidHear(domain, now - age)) {
+  if (reachability_.DidHear(domain, now - age)) {
     MarkChanged();
   }
 }
--- a/src/membership/lease_registration.cc
+++ b/src/membership/lease_registration.cc
@@ -12,21 +12,21 @@
 namespace {
 
 // Store calls cost money, and a registration may be seconds late.
-constexpr base::Duration kRetry = base::Milliseconds(2'000);
+constexpr base::Duration kRetryDelay = base::Milliseconds(2'000);
 // How often an unregistered daemon checks whether it should register.
-constexpr base::Duration kConsiderInterval = base::Milliseconds(1'000);
+constexpr base::Duration kRegistrationCheckInterval = base::Milliseconds(1'000);
 // A daemon with less than this fraction of another one's cores follows it.
-constexpr double kWeakPart = 0.5;
+constexpr double kSmallVmRatio = 0.5;
 // Lower bound of the number of cores in the registration delay.
-constexpr double kLeastShare = 0.1;
+constexpr double kMinShare = 0.1;
 
 }  // namespace
 
-base::Duration RegistrationWait(const LeaseRegistrationSettings& settings,
-                                double processor_share) {
-  const double share = std::max(kLeastShare, processor_share);
+base::Duration RegistrationDelay(const LeaseRegistrationSettings& settings,
+                                 double processor_share) {
+  const double share = std::max(kMinShare, processor_share);
   return base::Duration(static_cast<std::int64_t>(
-      static_cast<double>(settings.pace.count()) / share));
+      static_cast<double>(settings.base_delay.count()) / share));
 }
 
 LeaseRegistration::LeaseRegistration(
@@ -53,9 +53,9 @@
 
 void LeaseRegistration::Start() {
   Publish();
-  Again(RegistrationWait(settings_, self_.processor_share),
-        &LeaseRegistration::ConsiderRegistering);
-  Again(settings_.list_interval, &LeaseRegistration::WriteFollowers);
+  RunAfter(RegistrationDelay(settings_, self_.processor_share),
+           &LeaseRegistration::RegisterIfNeeded);
+  RunAfter(settings_.list_interval, &LeaseRegistration::WriteFollowers);
 }
 
 void LeaseRegistration::Stop() {
@@ -86,8 +86,8 @@
     const std::string& reader,
     const std::optional<std::string>& value) {
   if (!value) {
-    forget_at_[reader] = clock_.Now() + settings_.unlisted_kept;
-    control_.After(settings_.unlisted_kept,
+    forget_at_[reader] = clock_.Now() + settings_.removed_list_retention;
+    control_.After(settings_.removed_list_retention,
                    [self = shared_from_this(), reader] {
                      if (!self->is_stopped_) {
                        self->ForgetList(reader);
@@ -99,7 +99,7 @@
   forget_at_.erase(reader);
   std::vector<blackboard::Member> members = DecodeFollowers(*value);
   if (reader == self_.name) {
-    followers_.DidReadOwn(members, clock_.Now());
+    followers_.DidReadStored(members, clock_.Now());
   }
   Members& list = lists_[reader];
   list.clear();
@@ -133,7 +133,7 @@
 }
 
 void LeaseRegistration::WriteFollowers() {
-  Again(settings_.list_interval, &LeaseRegistration::WriteFollowers);
+  RunAfter(settings_.list_interval, &LeaseRegistration::WriteFollowers);
   if (lease_ == 0) {
     return;
   }
@@ -180,12 +180,12 @@
   blackboard_.membership.Write(std::move(view));
 }
 
-bool LeaseRegistration::is_weak() const {
+bool LeaseRegistration::is_on_small_vm() const {
   return std::any_of(
       registered_.begin(), registered_.end(), [this](const auto& row) {
         const blackboard::Member& other = row.second;
         return other.failure_domain == self_.failure_domain &&
-               self_.processor_share < kWeakPart * other.processor_share;
+               self_.processor_share < kSmallVmRatio * other.processor_share;
       });
 }
 
@@ -195,7 +195,7 @@
   });
 }
 
-void LeaseRegistration::ConsiderRegistering() {
+void LeaseRegistration::RegisterIfNeeded() {
   const base::MonotonicTime now = clock_.Now();
   if (is_listed()) {
     unlisted_since_ = {};
@@ -204,15 +204,15 @@
   }
   const bool waits_for_list =
       unlisted_since_ == base::MonotonicTime{} ||
-      (is_weak() && now - unlisted_since_ < settings_.listing_patience);
+      (is_on_small_vm() && now - unlisted_since_ < settings_.listing_timeout);
   if (waits_for_list) {
-    Again(kConsiderInterval, &LeaseRegistration::ConsiderRegistering);
+    RunAfter(kRegistrationCheckInterval, &LeaseRegistration::RegisterIfNeeded);
     return;
   }
   log_.Write(
       {.level = base::LogLevel::kInfo,
        .step = base::Step::kMembership,
-       .message = is_weak()
+       .message = is_on_small_vm()
                       ? "no reader lists this daemon as a follower; registering"
                       : "registering"});
   Register();
@@ -233,7 +233,7 @@
   }
   if (!lease.is_ok()) {
     log_.DidFail(lease.error(), "this daemon is not registered yet");
-    Again(kRetry, &LeaseRegistration::Register);
+    RunAfter(kRetryDelay, &LeaseRegistration::Register);
     return;
   }
   lease_ = lease.value().id;
@@ -243,7 +243,7 @@
                 if (!status.is_ok()) {
                   self->log_.DidFail(status.error(),
                                      "this daemon is not registered yet");
-                  self->Again(kRetry, &LeaseRegistration::Register);
+                  self->RunAfter(kRetryDelay, &LeaseRegistration::Register);
                   return;
                 }
                 self->renewed_ = self->clock_.Now();
@@ -254,7 +254,7 @@
 // The interval is checked again each second, since the daemon may become a
 // reader in the meantime.
 void LeaseRegistration::RenewLater() {
-  Again(settings_.reader_renewal, &LeaseRegistration::Renew);
+  RunAfter(settings_.reader_renewal_interval, &LeaseRegistration::Renew);
 }
 
 void LeaseRegistration::Renew() {
@@ -265,8 +265,9 @@
     Register();
     return;
   }
-  const base::Duration interval =
-      is_reading_store_() ? settings_.reader_renewal : settings_.renewal;
+  const base::Duration interval = is_reading_store_()
+                                      ? settings_.reader_renewal_interval
+                                      : settings_.renewal_interval;
   if (clock_.Now() - renewed_ < interval) {
     RenewLater();
     return;
@@ -279,7 +280,7 @@
     if (has_ended) {
       self->log_.DidFail(status.error(),
                          "the lease has ended; registering again");
-      self->Again(base::Duration{}, &LeaseRegistration::Register);
+      self->RunAfter(base::Duration{}, &LeaseRegistration::Register);
       return;
     }
     self->did_renew_(status);
@@ -287,8 +288,8 @@
   });
 }
 
-void LeaseRegistration::Again(base::Duration delay,
-                              void (LeaseRegistration::*step)()) {
+void LeaseRegistration::RunAfter(base::Duration delay,
+                                 void (LeaseRegistration::*step)()) {
   control_.After(delay, [self = shared_from_this(), step] {
     if (!self->is_stopped_) {
       (self.get()->*step)();
--- a/src/membership/lease_registration.h
+++ b/src/membership/lease_registration.h
@@ -47,29 +47,29 @@
   // sooner.
   base::Duration time_to_live = base::Milliseconds(60'000);
   // Two renewals in a row may fail before the lease ends.
-  base::Duration renewal = base::Milliseconds(20'000);
+  base::Duration renewal_interval = base::Milliseconds(20'000);
   // The renewal interval of a daemon that reads the store. It lets that daemon,
   // and those that ask it, detect within two seconds that the store does not
   // respond. A renewal costs a tenth of a store call.
-  base::Duration reader_renewal = base::Milliseconds(1'000);
+  base::Duration reader_renewal_interval = base::Milliseconds(1'000);
   // A daemon registers after this delay divided by its VM's number of cores.
   // Half a core is 1.9 s ahead of an eighth of a core, enough to register and
   // to list the smaller one.
-  base::Duration pace = base::Milliseconds(300);
+  base::Duration base_delay = base::Milliseconds(300);
   // A daemon on a small VM registers itself if it has not been listed for this
   // time.
-  base::Duration listing_patience = base::Milliseconds(6'000);
+  base::Duration listing_timeout = base::Milliseconds(6'000);
   // How often the list of followers is checked for changes and written if there
   // are any. It changes about twice while the whole fleet starts.
   base::Duration list_interval = base::Milliseconds(1'500);
   // How long the daemons on a removed list still count. Its writer, or the next
   // reader, needs seconds to detect the removal and write the list again.
-  base::Duration unlisted_kept = base::Milliseconds(10'000);
+  base::Duration removed_list_retention = base::Milliseconds(10'000);
 };
 
 // How long after its start a daemon on a VM with that many cores registers.
-base::Duration RegistrationWait(const LeaseRegistrationSettings& settings,
-                                double processor_share);
+base::Duration RegistrationDelay(const LeaseRegistrationSettings& settings,
+                                 double processor_share);
 
 // Runs on the control thread. It is the only writer of Blackboard::membership
 // with the opaque interface.
@@ -108,10 +108,10 @@
   using Members = std::map<std::string, blackboard::Member>;
 
   // Registers this daemon if no reader lists it; otherwise checks again later.
-  void ConsiderRegistering();
+  void RegisterIfNeeded();
   // Whether a registered daemon of the failure domain runs on a VM so much
   // larger that this one follows it.
-  bool is_weak() const;
+  bool is_on_small_vm() const;
   bool is_listed() const;
   void Register();
   void DidOpenLease(const base::Result<store::Lease>& lease);
@@ -119,7 +119,7 @@
   void RenewLater();
   void WriteFollowers();
   void ForgetList(const std::string& reader);
-  void Again(base::Duration delay, void (LeaseRegistration::*step)());
+  void RunAfter(base::Duration delay, void (LeaseRegistration::*step)());
 
   const LeaseRegistrationSettings settings_;
   const blackboard::Member self_;
--- a/src/membership/member_table.cc
+++ b/src/membership/member_table.cc
@@ -74,11 +74,11 @@
     // This daemon has announced it itself, because it is stopping.
     return MergeResult::kUnchanged;
   }
-  const bool is_doubted = StateOf(record) == RecordState::kGone ||
-                          StateOf(record) == RecordState::kSuspected;
-  if (is_doubted && record.heartbeat >= self.heartbeat) {
+  const bool reports_failure = StateOf(record) == RecordState::kGone ||
+                               StateOf(record) == RecordState::kSuspected;
+  if (reports_failure && record.heartbeat >= self.heartbeat) {
     self.heartbeat = record.heartbeat + 1;
-    return MergeResult::kSelfContradicted;
+    return MergeResult::kSelfRefuted;
   }
   if (StateOf(record) == RecordState::kLeaving &&
       StateOf(self) == RecordState::kLive) {
@@ -123,7 +123,7 @@
     entry.changed_at = now;
     return MergeResult::kStateChanged;
   }
-  return MergeResult::kConfirmed;
+  return MergeResult::kRefuted;
 }
 
 const Record* MemberTable::Find(const std::string& name) const {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -25,12 +25,12 @@
   kRevisionChanged,
   // The VM has refuted a suspicion or a report that it is gone: it was alive a
   // moment ago.
-  kConfirmed,
+  kRefuted,
   // The VM is new, has left, has come back or has another incarnation.
   kStateChanged,
   // The record calls this daemon suspected or gone. This daemon's own record
   // now refutes that.
-  kSelfContradicted,
+  kSelfRefuted,
   // A newer process runs under this daemon's name.
   kSelfReplaced,
 };
--- a/src/membership/membership_callbacks.h
+++ b/src/membership/membership_callbacks.h
@@ -26,7 +26,7 @@
       did_hear_draining;
   // A newer process runs under this daemon's name. Membership has ended here
   // and this daemon should stop.
-  std::function<void(std::int64_t newer_incarnation)> did_step_aside;
+  std::function<void(std::int64_t newer_incarnation)> did_get_replaced;
 };
 
 }  // namespace medlarspread::membership
--- a/src/membership/membership_core.cc
+++ b/src/membership/membership_core.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxDrainingPassedOn = 32;
 // A table from another domain is requested only once the settle timeout divided
 // by this has passed.
-constexpr int kOwnDomainShare = 3;
+constexpr int kOwnDomainDivisor = 3;
 
 Record MakeSelf(const MembershipSettings& settings) {
   Record self;
@@ -53,18 +53,24 @@
       callbacks_(std::move(callbacks)),
       log_(log),
       table_(MakeSelf(settings)),
-      watch_(settings.domain_grace),
-      news_(settings.draining_lifetime, kMaxDrainingPassedOn),
+      reachability_(settings.domain_grace),
+      notices_(settings.draining_lifetime, kMaxDrainingPassedOn),
       messenger_(settings_,
                  clock,
                  random,
                  port,
                  table_,
-                 watch_,
-                 news_,
+                 reachability_,
+                 notices_,
                  [this](const std::string&) { PublishIfChanged(); }),
       detector_(settings_, clock, random, log, table_, messenger_),
-      prober_(settings_, clock, random, table_, watch_, messenger_, detector_),
+      prober_(settings_,
+              clock,
+              random,
+              table_,
+              reachability_,
+              messenger_,
+              detector_),
       list_(std::make_shared<VmList>(settings.name,
                                      settings.address,
                                      settings.list_timeout,
@@ -106,7 +112,7 @@
 }
 
 void MembershipCore::NoteDrainingUpstream(const std::string& name) {
-  if (!is_running_ || !news_.Add(name, base::Duration(0), clock_.Now())) {
+  if (!is_running_ || !notices_.Add(name, base::Duration(0), clock_.Now())) {
     return;
   }
   messenger_.SpreadInDomain({});
@@ -120,27 +126,27 @@
   round_timer_ =
       control_.After(base::Duration(delay), [self = shared_from_this()] {
         if (self->is_running_) {
-          self->DidStartRound();
+          self->RunRound();
           self->ScheduleRound();
         }
       });
 }
 
-void MembershipCore::DidStartRound() {
+void MembershipCore::RunRound() {
   const base::MonotonicTime now = clock_.Now();
-  NoticeDelay(now);
+  DetectDelay(now);
   RefreshTargets();
   ReadListIfDue();
   if (!is_settled_) {
     AskForTable();
   } else {
-    if (detector_.Judge()) {
+    if (detector_.CheckTimeouts()) {
       MarkChanged();
     }
     detector_.ProbeNext(settings_.probes_per_round);
     RunDelegateDuties();
     SendSummaries();
-    TryAbsent();
+    ProbeAbsent();
     if (is_announcement_due_) {
       Announce();
     }
@@ -149,17 +155,17 @@
   PublishIfChanged();
 }
 
-void MembershipCore::NoticeDelay(base::MonotonicTime now) {
+void MembershipCore::DetectDelay(base::MonotonicTime now) {
   const base::Duration gap = now - std::exchange(last_round_, now);
-  if (gap > settings_.wake_gap) {
-    DidWake();
+  if (gap > settings_.freeze_threshold) {
+    DidResume();
   } else if (gap > 2 * settings_.round) {
     detector_.Postpone(gap - settings_.round);
     prober_.Postpone(gap - settings_.round);
   }
 }
 
-void MembershipCore::DidWake() {
+void MembershipCore::DidResume() {
   log_.Write(
       {.level = base::LogLevel::kWarning,
        .step = base::Step::kMembership,
@@ -193,7 +199,7 @@
   }
   for (const std::string& name :
        table_.DelegatesOf(settings_.failure_domain, settings_.delegates)) {
-    messenger_.Send(name, messenger_.Compose(HeartbeatKind::kNews));
+    messenger_.Send(name, messenger_.Compose(HeartbeatKind::kUpdate));
   }
 }
 
@@ -202,7 +208,7 @@
     prober_.Clear();
     return;
   }
-  if (prober_.DidStartRound()) {
+  if (prober_.RunRound()) {
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kMembership,
                 .message = "a failure domain has become unreachable"});
@@ -219,11 +225,12 @@
   std::vector<std::string> receivers;
   if (messenger_.IsDelegate()) {
     // One other delegate at a time is enough, since all probe the same domains.
-    auto fellows =
+    auto other_delegates =
         table_.DelegatesOf(settings_.failure_domain, settings_.delegates);
-    std::erase(fellows, settings_.name);
-    if (!fellows.empty()) {
-      receivers.push_back(fellows[random_.Below(fellows.size())]);
+    std::erase(other_delegates, settings_.name);
+    if (!other_delegates.empty()) {
+      receivers.push_back(
+          other_delegates[random_.Below(other_delegates.size())]);
     }
   }
   const auto present = table_.PresentIn(settings_.failure_domain);
@@ -236,7 +243,7 @@
   if (receivers.empty()) {
     return;
   }
-  peer::wire::Heartbeat heartbeat = messenger_.Compose(HeartbeatKind::kNews);
+  peer::wire::Heartbeat heartbeat = messenger_.Compose(HeartbeatKind::kUpdate);
   heartbeat.domains = messenger_.SummarizeAll();
   for (const std::string& name : receivers) {
     messenger_.Send(name, heartbeat);
@@ -245,7 +252,7 @@
 
 // Occasionally probes a daemon of this domain that is gone, or listed and never
 // heard from, since it may only have been cut off.
-void MembershipCore::TryAbsent() {
+void MembershipCore::ProbeAbsent() {
   if (clock_.Now() < next_absent_) {
     return;
   }
@@ -257,7 +264,7 @@
     }
   }
   if (!absent.empty()) {
-    detector_.TryAbsent(absent[random_.Below(absent.size())]);
+    detector_.ProbeAbsent(absent[random_.Below(absent.size())]);
   }
 }
 
@@ -290,7 +297,7 @@
     }
     Record leaving = *known;
     SetState(leaving, RecordState::kLeaving);
-    MergeOne(leaving, settings_.name, changed);
+    MergeRecord(leaving, settings_.name, changed);
   }
   if (list_->is_self_leaving() &&
       StateOf(table_.self()) == RecordState::kLive) {
@@ -331,7 +338,7 @@
     return;
   }
   const bool is_far_due =
-      near.empty() || waited * kOwnDomainShare >= settings_.settle_timeout;
+      near.empty() || waited * kOwnDomainDivisor >= settings_.settle_timeout;
   for (auto* names : {&near, &far}) {
     if (names->empty() || (names == &far && !is_far_due)) {
       continue;
@@ -356,7 +363,7 @@
   messenger_.SpreadToDomains({});
 }
 
-void MembershipCore::StepAside(std::int64_t newer_incarnation) {
+void MembershipCore::HandleReplacement(std::int64_t newer_incarnation) {
   log_.Write(
       {.level = base::LogLevel::kError,
        .step = base::Step::kMembership,
@@ -371,8 +378,8 @@
   table_.SetSelfState(RecordState::kLeaving);
   has_changed_ = true;
   PublishIfChanged();
-  if (callbacks_.did_step_aside) {
-    callbacks_.did_step_aside(newer_incarnation);
+  if (callbacks_.did_get_replaced) {
+    callbacks_.did_get_replaced(newer_incarnation);
   }
 }
 
@@ -392,7 +399,7 @@
     return;
   }
   blackboard_.membership.Write(
-      ComposeView(table_, watch_, messenger_, *list_, is_settled_));
+      ComposeView(table_, reachability_, messenger_, *list_, is_settled_));
 }
 
 }  // namespace medlarspread::membership
--- a/src/membership/membership_core.h
+++ b/src/membership/membership_core.h
@@ -29,8 +29,8 @@
 #include "src/base/task_runner.h"
 #include "src/blackboard/blackboard.h"
 #include "src/membership/domain_prober.h"
-#include "src/membership/domain_watch.h"
-#include "src/membership/draining_news.h"
+#include "src/membership/domain_reachability.h"
+#include "src/membership/draining_notices.h"
 #include "src/membership/failure_detector.h"
 #include "src/membership/member_table.h"
 #include "src/membership/membership_callbacks.h"
@@ -65,13 +65,13 @@
  private:
   // Rounds.
   void ScheduleRound();
-  void DidStartRound();
-  void NoticeDelay(base::MonotonicTime now);
-  void DidWake();
+  void RunRound();
+  void DetectDelay(base::MonotonicTime now);
+  void DidResume();
   void RefreshTargets();
   void RunDelegateDuties();
   void SendSummaries();
-  void TryAbsent();
+  void ProbeAbsent();
   void ReadListIfDue();
   void DidReadList();
 
@@ -80,15 +80,15 @@
   void DidSettle();
   // Broadcasts this daemon's own record.
   void Announce();
-  void StepAside(std::int64_t newer_incarnation);
+  void HandleReplacement(std::int64_t newer_incarnation);
 
   // Heartbeats.
   bool MergeSender(const peer::wire::Heartbeat& heartbeat);
   void DidHearDomain(const std::string& domain);
   void MergeOthers(const peer::wire::Heartbeat& heartbeat);
-  void MergeOne(const Record& record,
-                const std::string& from,
-                std::vector<Record>& changed);
+  void MergeRecord(const Record& record,
+                   const std::string& from,
+                   std::vector<Record>& changed);
   void PassOn(const std::vector<Record>& changed, bool is_from_own_domain);
   void MergeDraining(const peer::wire::Heartbeat& heartbeat);
   void MergeUnreachable(const peer::wire::Heartbeat& heartbeat);
@@ -117,8 +117,8 @@
   const base::Log log_;
 
   MemberTable table_;
-  DomainWatch watch_;
-  DrainingNews news_;
+  DomainReachability reachability_;
+  DrainingNotices notices_;
   Messenger messenger_;
   FailureDetector detector_;
   DomainProber prober_;
--- a/src/membership/membership_settings.h
+++ b/src/membership/membership_settings.h
@@ -50,7 +50,7 @@
   base::Duration list_timeout = base::Milliseconds(1500);
 
   // A longer time between two rounds means that the VM was frozen.
-  base::Duration wake_gap = base::Milliseconds(1000);
+  base::Duration freeze_threshold = base::Milliseconds(1000);
   // How long other daemons are asked for their table before this one continues
   // with what it knows.
   base::Duration settle_timeout = base::Milliseconds(3000);
--- a/src/membership/messenger.cc
+++ b/src/membership/messenger.cc
@@ -32,24 +32,24 @@
                      base::Random& random,
                      peer::PeerPort port,
                      MemberTable& table,
-                     DomainWatch& watch,
-                     DrainingNews& news,
-                     std::function<void(const std::string&)> prepare)
+                     DomainReachability& reachability,
+                     DrainingNotices& notices,
+                     std::function<void(const std::string&)> before_send)
     : settings_(settings),
       clock_(clock),
       random_(random),
       port_(std::move(port)),
       table_(table),
-      watch_(watch),
-      news_(news),
-      prepare_(std::move(prepare)) {}
+      reachability_(reachability),
+      notices_(notices),
+      before_send_(std::move(before_send)) {}
 
 Heartbeat Messenger::Compose(HeartbeatKind kind) {
   Heartbeat heartbeat;
   heartbeat.sender = table_.self();
   heartbeat.kind = static_cast<int>(kind);
-  heartbeat.draining_upstreams = news_.Current(clock_.Now());
-  heartbeat.unreachable_domains = watch_.Unreachable();
+  heartbeat.draining_upstreams = notices_.Current(clock_.Now());
+  heartbeat.unreachable_domains = reachability_.Unreachable();
   return heartbeat;
 }
 
@@ -72,7 +72,7 @@
 }
 
 void Messenger::Send(const std::string& peer, Heartbeat heartbeat) {
-  prepare_(peer);
+  before_send_(peer);
   const Record* known = table_.Find(peer);
   if (known != nullptr && !IsPresent(*known)) {
     // Tells a VM that counts as gone about it, so that it can refute it.
@@ -92,7 +92,7 @@
       receivers.insert(record.name);
     }
   }
-  Heartbeat heartbeat = Compose(HeartbeatKind::kNews);
+  Heartbeat heartbeat = Compose(HeartbeatKind::kUpdate);
   heartbeat.others = records;
   for (const std::string& name : receivers) {
     Send(name, heartbeat);
@@ -100,10 +100,11 @@
 }
 
 void Messenger::SpreadToDomains(const std::vector<Record>& records) {
-  Heartbeat heartbeat = Compose(HeartbeatKind::kNews);
+  Heartbeat heartbeat = Compose(HeartbeatKind::kUpdate);
   heartbeat.others = records;
   for (const std::string& domain : table_.Domains()) {
-    if (domain == table_.self().failure_domain || !watch_.IsReachable(domain)) {
+    if (domain == table_.self().failure_domain ||
+        !reachability_.IsReachable(domain)) {
       continue;
     }
     const std::string peer = PickDelegateOf(domain);
@@ -142,9 +143,10 @@
   peer::wire::DomainSummary summary;
   summary.digest = DigestFor(domain, peer_domain);
   summary.lowest_revision = LowestRevisionOf(domain);
-  summary.age_ms = domain == table_.self().failure_domain
-                       ? 0
-                       : ToMilliseconds(watch_.AgeOf(domain, clock_.Now()));
+  summary.age_ms =
+      domain == table_.self().failure_domain
+          ? 0
+          : ToMilliseconds(reachability_.AgeOf(domain, clock_.Now()));
   return summary;
 }
 
@@ -165,8 +167,8 @@
   return row == lowest_revisions_.end() ? 0 : row->second;
 }
 
-void Messenger::NoteLowestRevision(const std::string& domain,
-                                   std::int64_t revision) {
+void Messenger::SetLowestRevision(const std::string& domain,
+                                  std::int64_t revision) {
   lowest_revisions_[domain] = revision;
 }
 
--- a/src/membership/messenger.h
+++ b/src/membership/messenger.h
@@ -14,8 +14,8 @@
 
 #include "src/base/clock.h"
 #include "src/base/random.h"
-#include "src/membership/domain_watch.h"
-#include "src/membership/draining_news.h"
+#include "src/membership/domain_reachability.h"
+#include "src/membership/draining_notices.h"
 #include "src/membership/member_table.h"
 #include "src/membership/membership_settings.h"
 #include "src/peer/message.h"
@@ -24,16 +24,16 @@
 
 class Messenger {
  public:
-  // `prepare` runs before each send with the peer's name, so that the
+  // `before_send` runs before each send with the peer's name, so that the
   // peer's address can be published first. References must outlive this object.
   Messenger(const MembershipSettings& settings,
             const base::Clock& clock,
             base::Random& random,
             peer::PeerPort port,
             MemberTable& table,
-            DomainWatch& watch,
-            DrainingNews& news,
-            std::function<void(const std::string&)> prepare);
+            DomainReachability& reachability,
+            DrainingNotices& notices,
+            std::function<void(const std::string&)> before_send);
 
   // A heartbeat with this daemon's own record only.
   peer::wire::Heartbeat Compose(HeartbeatKind kind);
@@ -66,7 +66,7 @@
   std::int64_t LowestRevisionOf(const std::string& domain) const;
   // Stores the value reported by a daemon with better information on the
   // domain.
-  void NoteLowestRevision(const std::string& domain, std::int64_t revision);
+  void SetLowestRevision(const std::string& domain, std::int64_t revision);
 
   // Whether this daemon is one of its domain's delegates.
   bool IsDelegate() const;
@@ -82,9 +82,9 @@
   base::Random& random_;
   const peer::PeerPort port_;
   MemberTable& table_;
-  DomainWatch& watch_;
-  DrainingNews& news_;
-  const std::function<void(const std::string&)> prepare_;
+  DomainReachability& reachability_;
+  DrainingNotices& notices_;
+  const std::function<void(const std::string&)> before_send_;
   // How many more heartbeats carry a VM's record, by the VM's name.
   std::map<std::string, int> recent_;
   // Lowest active targets revisions of other domains.
--- a/src/membership/probe_tracker.cc
+++ b/src/membership/probe_tracker.cc
@@ -20,8 +20,8 @@
   return pending_.contains(name);
 }
 
-ProbeTracker::Verdicts ProbeTracker::Judge(base::MonotonicTime now) {
-  Verdicts verdicts;
+ProbeTracker::TimedOut ProbeTracker::CheckTimeouts(base::MonotonicTime now) {
+  TimedOut timed_out;
   for (auto row = pending_.begin(); row != pending_.end();) {
     Probe& probe = row->second;
     if (now < probe.deadline) {
@@ -29,14 +29,14 @@
     } else if (!probe.is_suspected) {
       probe.is_suspected = true;
       probe.deadline = now + suspicion_timeout_;
-      verdicts.suspected.push_back(row->first);
+      timed_out.suspected.push_back(row->first);
       ++row;
     } else {
-      verdicts.gone.push_back(row->first);
+      timed_out.gone.push_back(row->first);
       row = pending_.erase(row);
     }
   }
-  return verdicts;
+  return timed_out;
 }
 
 void ProbeTracker::Postpone(base::Duration delay) {
--- a/src/membership/probe_tracker.h
+++ b/src/membership/probe_tracker.h
@@ -27,11 +27,11 @@
   std::size_t size() const { return pending_.size(); }
 
   // Each VM is returned once as suspected and once as gone, then forgotten.
-  struct Verdicts {
+  struct TimedOut {
     std::vector<std::string> suspected;
     std::vector<std::string> gone;
   };
-  Verdicts Judge(base::MonotonicTime now);
+  TimedOut CheckTimeouts(base::MonotonicTime now);
 
   // Extends the deadline of every probe, because this daemon itself was delayed
   // and may not have processed the answers yet.
--- a/src/membership/record.cc
+++ b/src/membership/record.cc
@@ -35,7 +35,7 @@
 HeartbeatKind KindOf(const peer::wire::Heartbeat& heartbeat) {
   if (heartbeat.kind < 0 ||
       heartbeat.kind > static_cast<int>(HeartbeatKind::kTable)) {
-    return HeartbeatKind::kNews;
+    return HeartbeatKind::kUpdate;
   }
   return static_cast<HeartbeatKind>(heartbeat.kind);
 }
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -23,7 +23,7 @@
 // The index is sent on the wire.
 enum class HeartbeatKind {
   // Needs no reply.
-  kNews,
+  kUpdate,
   // Must be answered at once with kAnswer, or with kTable if `wants_table` is
   // set.
   kProbe,
@@ -32,7 +32,7 @@
   kTable,
 };
 
-// Values unknown to this version are treated as kNews and kSuspected, which
+// Values unknown to this version are treated as kUpdate and kSuspected, which
 // change nothing.
 HeartbeatKind KindOf(const peer::wire::Heartbeat& heartbeat);
 RecordState StateOf(const Record& record);
--- a/src/membership/view.cc
+++ b/src/membership/view.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 blackboard::MembershipView ComposeView(const MemberTable& table,
-                                       const DomainWatch& watch,
+                                       const DomainReachability& reachability,
                                        const Messenger& messenger,
                                        const VmList& list,
                                        bool is_settled) {
@@ -42,7 +42,7 @@
     const bool is_member =
         record.name == view.self ||
         (IsPresent(record) &&
-         (is_own_domain || watch.IsReachable(record.failure_domain)));
+         (is_own_domain || reachability.IsReachable(record.failure_domain)));
     (is_member ? view.members : view.absent)[record.name] = std::move(member);
   });
   for (const auto& [name, vm] : list.others()) {
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -4,7 +4,7 @@
 #define MEDLARSPREAD_MEMBERSHIP_VIEW_H_
 
 #include "src/blackboard/views.h"
-#include "src/membership/domain_watch.h"
+#include "src/membership/domain_reachability.h"
 #include "src/membership/member_table.h"
 #include "src/membership/messenger.h"
 #include "src/membership/vm_list.h"
@@ -16,7 +16,7 @@
 // 2. Absent are the daemons of unreachable domains, those that are gone and not
 //    yet forgotten, and those that are listed but were never heard from.
 blackboard::MembershipView ComposeView(const MemberTable& table,
-                                       const DomainWatch& watch,
+                                       const DomainReachability& reachability,
                                        const Messenger& messenger,
                                        const VmList& list,
                                        bool is_settled);
--- a/tests/membership/membership_controller_test.cc
+++ b/tests/membership/membership_controller_test.cc
@@ -17,7 +17,7 @@
 constexpr base::Duration kOwnDomainBound = base::Milliseconds(2'000);
 constexpr base::Duration kOtherDomainsBound = base::Milliseconds(5'000);
 constexpr base::Duration kRejoinBound = base::Milliseconds(18'000);
-constexpr std::size_t kAll = 13;
+constexpr std::size_t kVmCount = 13;
 
 class MembershipControllerTest : public testing::TestWithParam<int> {
  protected:
@@ -169,8 +169,8 @@
   const int before = world_.list_reads;
   world_.Advance(base::Milliseconds(20'000));
   // Three delegates in each of three domains, every two seconds.
-  constexpr int kMostReads = 9 * (10 + 1);
-  EXPECT_LE(world_.list_reads - before, kMostReads);
+  constexpr int kMaxReads = 9 * (10 + 1);
+  EXPECT_LE(world_.list_reads - before, kMaxReads);
 }
 
 TEST_P(MembershipControllerTest, FrozenVmLearnsFirstThatItWasTakenForDead) {
@@ -181,16 +181,16 @@
             kOtherDomainsBound);
   world_.Advance(base::Milliseconds(60'000));
   frozen.is_frozen = false;
-  bool did_doubt_itself = false;
-  std::size_t fewest = kAll;
+  bool was_unsettled = false;
+  std::size_t fewest = kVmCount;
   const auto back = world_.Until(kSettled, [&] {
-    did_doubt_itself = did_doubt_itself || !frozen.view()->is_settled;
+    was_unsettled = was_unsettled || !frozen.view()->is_settled;
     fewest = std::min(fewest, frozen.view()->members.size());
-    return did_doubt_itself && world_.AllAgree();
+    return was_unsettled && world_.AllAgree();
   });
   EXPECT_LT(back, kOwnDomainBound);
-  EXPECT_TRUE(did_doubt_itself);
-  EXPECT_EQ(fewest, kAll) << "it found others gone on waking";
+  EXPECT_TRUE(was_unsettled);
+  EXPECT_EQ(fewest, kVmCount) << "it found others gone on waking";
 }
 
 TEST_P(MembershipControllerTest, ShortFreezeOfTheProberFindsNobodyGone) {
@@ -200,7 +200,7 @@
     world_["a-0"].is_frozen = false;
     for (int step = 0; step < 100; ++step) {
       world_.Advance(base::Milliseconds(10));
-      ASSERT_EQ(world_["a-0"].view()->members.size(), kAll);
+      ASSERT_EQ(world_["a-0"].view()->members.size(), kVmCount);
     }
   }
 }
@@ -208,27 +208,25 @@
 TEST_P(MembershipControllerTest, TheHigherOfTwoIncarnationsWins) {
   Vm& older = world_["a-4"];
   const Vm& newer = world_.Add("a-4", "north", "a", 2);
-  EXPECT_LT(
-      world_.Until(kSettled, [&] { return older.stepped_aside_for == 2; }),
-      kSettled);
+  EXPECT_LT(world_.Until(kSettled, [&] { return older.replaced_by == 2; }),
+            kSettled);
   EXPECT_FALSE(older.view()->is_settled);
-  EXPECT_EQ(newer.stepped_aside_for, 0);
+  EXPECT_EQ(newer.replaced_by, 0);
   older.is_dead = true;
   world_.Advance(kSettled);
   EXPECT_TRUE(world_.AllAgree());
   EXPECT_EQ(world_["c-0"].view()->members.at("a-4").incarnation, 2);
 }
 
-TEST_P(MembershipControllerTest, FrozenVmThatWasReplacedStepsAside) {
+TEST_P(MembershipControllerTest, FrozenVmThatWasReplacedEndsMembership) {
   Vm& older = world_["a-4"];
   older.is_frozen = true;
   world_.Advance(kSettled);
   world_.Add("a-4", "north", "a", 2);
   world_.Advance(kSettled);
   older.is_frozen = false;
-  EXPECT_LT(
-      world_.Until(kSettled, [&] { return older.stepped_aside_for == 2; }),
-      kSettled);
+  EXPECT_LT(world_.Until(kSettled, [&] { return older.replaced_by == 2; }),
+            kSettled);
   older.is_dead = true;
   EXPECT_TRUE(world_.AllAgree());
 }
--- a/tests/membership/world.cc
+++ b/tests/membership/world.cc
@@ -26,8 +26,8 @@
                                        base::Duration) {
     heard_draining.push_back(upstream);
   };
-  callbacks.did_step_aside = [this](std::int64_t newer) {
-    stepped_aside_for = newer;
+  callbacks.did_get_replaced = [this](std::int64_t newer) {
+    replaced_by = newer;
   };
   const peer::PeerPort port{
       [this, &world](const std::string& peer, peer::Message message) {
--- a/tests/membership/world.h
+++ b/tests/membership/world.h
@@ -42,7 +42,7 @@
   // Arguments that the callbacks received.
   std::map<std::string, std::int64_t> seen_targets;
   std::vector<std::string> heard_draining;
-  std::int64_t stepped_aside_for = 0;
+  std::int64_t replaced_by = 0;
   // The newest incarnation received by name, as the peer links track it.
   std::map<std::string, std::int64_t> newest_incarnations;
 
