--- a/src/upstream/due_queue.cc
+++ b/src/upstream/due_queue.cc
@@ -1,4 +1,4 @@
-// The ordered set behind DueQueue.
+// Implementation of upstream::DueQueue.
 
 #include "src/upstream/due_queue.h"
 
--- a/src/upstream/due_queue.h
+++ b/src/upstream/due_queue.h
@@ -1,5 +1,5 @@
-// Names with the times at which each is due: what is to be looked at next out
-// of thousands of leaves, without a timer for each. Not thread-safe.
+// A priority queue of names by due time. It tells which of thousands of leaves
+// to process next without a timer for each. Not thread-safe.
 
 #ifndef MEDLARSPREAD_UPSTREAM_DUE_QUEUE_H_
 #define MEDLARSPREAD_UPSTREAM_DUE_QUEUE_H_
@@ -17,11 +17,11 @@
 
 class DueQueue {
  public:
-  // Adds the name, or moves it if it is queued.
+  // Adds the name, or changes its due time if it is already queued.
   void Set(const std::string& name, base::MonotonicTime due);
   void Remove(const std::string& name);
 
-  // When the first name is due, if there is any.
+  // The earliest due time, if the queue is not empty.
   std::optional<base::MonotonicTime> NextDue() const;
   // Removes and returns the first name if it is due.
   std::optional<std::string> TakeDue(base::MonotonicTime now);
--- a/src/upstream/forward_client.cc
+++ b/src/upstream/forward_client.cc
@@ -1,4 +1,5 @@
-// The connections to each leaf and the calls on them.
+// Implementation of upstream::ForwardClient: the connections to each leaf and
+// the calls on them.
 
 #include "src/upstream/forward_client.h"
 
@@ -17,27 +18,28 @@
 using base::Step;
 using http1::ClientConnection;
 
-// A connection that does not open within this time belongs to a leaf that is
-// down or cut off. It stays below the time for which a leaf that drains may
-// still be sent to.
+// If a connection does not open within this time, the leaf is down or cut off.
+// Must be below the time for which a draining leaf may still receive requests.
 constexpr base::Duration kConnectTimeout = base::Milliseconds(900);
-// How long a leaf's host may leave bytes unacknowledged.
+// How long a leaf's host may leave sent bytes unacknowledged.
 constexpr base::Duration kSilence = base::Milliseconds(2'000);
-// How long the reply of a leaf that lost the race for an answer is waited for.
-// A reply shows that the leaf is back and keeps the connection; a pause of the
-// leaves lasts 120 to 200 ms.
+// How long to wait for the reply of a leaf after another one has answered. A
+// reply shows that the leaf is responsive again and keeps the connection
+// usable; pauses of leaves last 120 to 200 ms.
 constexpr base::Duration kLinger = base::Milliseconds(250);
-// A connection that was not needed for this time is closed, unless it is the
-// leaf's last. Pauses of a leaf make a daemon open some more, and where all
-// daemons lose power the leaves hold on to every connection of the dead ones
-// for seconds: what is open beyond the need of the moment is missing for the
-// daemons that come back. Where there are more daemons than places at a leaf,
-// the last one is closed too: had each of 195 daemons kept one to a leaf that
-// accepts 125, those that need one would be turned away. With it 215
-// connections of such a restart were reset for want of a place in place of 882
-// (8 daemons, 30 leaves of 31 connections each).
+// A connection that was idle for this time is closed, unless it is the last one
+// to the leaf. A daemon opens additional connections during pauses of a leaf.
+// When all daemons lose power, the leaves keep the connections of the dead
+// processes for seconds, so spare connections would be missing when the daemons
+// restart.
+//
+// If there are more daemons than a leaf accepts connections, the last one is
+// closed too: if each of 195 daemons kept one to a leaf that accepts 125,
+// daemons that need one would be refused. With this rule 215 instead of 882
+// connections were reset after such a restart (8 daemons, 30 leaves with 31
+// connections each).
 constexpr base::Duration kSpareIdle = base::Milliseconds(1'000);
-// After this time without a reply beyond the caller's deadline the call ends.
+// A call without a reply ends this long after the caller's deadline.
 constexpr base::Duration kDeadlineMargin = base::Milliseconds(50);
 
 }  // namespace
@@ -66,7 +68,7 @@
   ForwardClientCounters counters_;
 
  private:
-  // One request on its way.
+  // A request in flight.
   struct Call {
     blackboard::Upstream upstream;
     base::MonotonicTime sent;
@@ -83,18 +85,18 @@
     base::MonotonicTime last_used;
   };
 
-  // The one used last comes first.
+  // The most recently used connection comes first.
   using Connections = std::list<Kept>;
 
   // The connections to one leaf.
   struct Leaf {
     Connections connections;
-    // Whether the last one is kept although nobody needs it.
+    // Whether the last connection is kept open while it is idle.
     bool keeps_one = true;
   };
 
   std::shared_ptr<ClientConnection> Take(const blackboard::Upstream& upstream);
-  // Whether one more may be opened.
+  // Whether another connection may be opened.
   bool HasPlace(const blackboard::Upstream& upstream) const;
   std::shared_ptr<ClientConnection> FindFree(Connections& connections);
   std::shared_ptr<ClientConnection> Open(const blackboard::Upstream& upstream);
@@ -108,8 +110,8 @@
   const base::TaskRunner traffic_;
   const ForwardCodec codec_;
   const std::function<double(const blackboard::Upstream&)> connection_share_;
-  // Open or opening connections by the leaf's name, which is new at each of
-  // its starts. Invariant: none is closed.
+  // Open and opening connections by the leaf's name, which changes with each of
+  // its starts. Invariant: no connection is closed.
   std::map<std::string, Leaf> leaves_;
 };
 
@@ -125,9 +127,9 @@
   if (!connection) {
     ForwardReply reply;
     reply.outcome = LeafOutcome::kUnreachable;
-    reply.error =
-        base::MakeError(ErrorCode::kUnreachable, Step::kSendUpstream,
-                        upstream.address, "no connection may be opened");
+    reply.error = base::MakeError(
+        ErrorCode::kUnreachable, Step::kSendUpstream, upstream.address,
+        "connection limit reached or invalid address");
     traffic_.Post([self = shared_from_this(), state, reply] {
       self->Finish(state, reply);
     });
@@ -139,7 +141,8 @@
   http1::Exchange exchange;
   exchange.request =
       std::make_shared<http1::Request>(codec_.encode(upstream, call));
-  // The leaf must not be given the time that opening the connection took.
+  // The time that opening the connection took is subtracted from the leaf's
+  // remaining time.
   exchange.will_write = [self = shared_from_this(), state,
                          time_left = call.time_left](http1::Request& request) {
     state->has_left = true;
@@ -180,7 +183,7 @@
   if (row == leaves_.end()) {
     return Readiness::kMustConnect;
   }
-  // NOTE: looking for a free one may close stale ones and so end the row.
+  // NOTE: FindFree() may close stale connections and thereby erase the row.
   const bool has_place = HasPlace(upstream);
   const auto free = FindFree(row->second.connections);
   if (!free) {
@@ -238,7 +241,7 @@
   const auto row = leaves_.find(upstream.name);
   if (row != leaves_.end()) {
     row->second.keeps_one = connection_share_(upstream) >= 1.0;
-    // NOTE: this may close stale ones and so end the row.
+    // NOTE: this may close stale connections and thereby erase the row.
     if (auto connection = FindFree(row->second.connections)) {
       return connection;
     }
@@ -253,8 +256,8 @@
          row->second.connections.size() < static_cast<std::size_t>(share);
 }
 
-// The one used last, so that the others may time out; those that the leaf is
-// about to close are closed here.
+// Returns the most recently used free connection, so that the others can reach
+// their idle timeout. Closes connections that the leaf is about to close.
 std::shared_ptr<ClientConnection> ForwardClient::Impl::FindFree(
     Connections& connections) {
   std::vector<std::shared_ptr<ClientConnection>> stale;
@@ -353,7 +356,8 @@
         ErrorCode::kTimeout,
         call->has_left ? Step::kReadUpstream : Step::kSendUpstream,
         call->upstream.address,
-        call->has_left ? "no reply in time" : "no connection in time");
+        call->has_left ? "no reply in time"
+                       : "connection not established in time");
     if (auto running = call->connection.lock()) {
       running->Abort();
     }
--- a/src/upstream/forward_client.h
+++ b/src/upstream/forward_client.h
@@ -1,8 +1,8 @@
-// Sends opaque requests to leaves over kept connections.
+// Sends opaque requests to leaves over persistent connections.
 //
-// A leaf takes a bounded number of connections from all daemons together. Each
-// daemon uses at most its share, so that none is reset for another's excess.
-// One connection carries one request at a time.
+// A leaf accepts a limited number of connections from all daemons together.
+// Each daemon uses at most its share, so that no connection is reset because
+// another daemon uses too many. A connection carries one request at a time.
 //
 // All calls and callbacks are on the traffic thread.
 
@@ -25,15 +25,15 @@
 
 namespace medlarspread::upstream {
 
-// How requests and replies are written on the wire.
+// The wire format of requests and replies.
 struct ForwardCodec {
   std::function<http1::Request(const blackboard::Upstream&, const ForwardCall&)>
       encode;
-  // States the time left in an encoded request.
+  // Sets the remaining time in an encoded request.
   std::function<void(http1::Request&, base::Duration)> set_time_left;
-  // Whether an answer on the connection belongs to the call.
+  // Whether a response received on the connection belongs to the call.
   std::function<bool(const ForwardCall&, const http1::Response&)> is_mine;
-  // Never throws, whatever the answer holds.
+  // Must not throw, whatever the response contains.
   std::function<ForwardReply(const blackboard::Upstream&, http1::Response)>
       decode;
 };
@@ -46,10 +46,10 @@
 
 class ForwardClient {
  public:
-  // `connection_share` gives this daemon's part of the connections that a leaf
-  // accepts. It may have as many, and always one. Where its part is less than
-  // one, it gives the one back as soon as it is not needed: there are more
-  // daemons than places.
+  // `connection_share` returns this daemon's share of the connections that a
+  // leaf accepts. The daemon may open that many, and always one. If the share
+  // is below one, there are more daemons than the leaf accepts connections, and
+  // the daemon closes its connection as soon as it is not needed.
   ForwardClient(
       boost::asio::io_context& context,
       base::Clock clock,
@@ -62,10 +62,9 @@
   ForwardClient& operator=(const ForwardClient&) = delete;
 
   ForwardPort port();
-  // Closes the connections without a request to all leaves but those in `view`.
+  // Closes the idle connections to all leaves that are not in `view`.
   void Prune(const blackboard::UpstreamsView& view);
-  // Closes what the load of the last moments did not need. To be called now and
-  // then.
+  // Closes connections that were not needed recently. Must be called regularly.
   void CloseSpare();
   ForwardClientCounters counters() const;
 
--- a/src/upstream/health_client.cc
+++ b/src/upstream/health_client.cc
@@ -1,4 +1,4 @@
-// `GET /v1/health` of one leaf.
+// Implementation of upstream::HealthClient: `GET /v1/health`.
 
 #include "src/upstream/health_client.h"
 
@@ -21,7 +21,7 @@
     if (!is_sent) {
       callback(base::MakeError(base::ErrorCode::kOverloaded,
                                base::Step::kSendUpstream, address,
-                               "all connections to the leaf taken"));
+                               "all connections to the leaf are in use"));
     }
   };
 }
--- a/src/upstream/health_client.h
+++ b/src/upstream/health_client.h
@@ -1,5 +1,5 @@
-// Reads the health of leaves over HTTP, through the same bounded connections
-// as their queries.
+// Reads the health of leaves over HTTP. Shares the limit on connections per
+// leaf with queries.
 
 #ifndef MEDLARSPREAD_UPSTREAM_HEALTH_CLIENT_H_
 #define MEDLARSPREAD_UPSTREAM_HEALTH_CLIENT_H_
@@ -16,8 +16,9 @@
 namespace medlarspread::upstream {
 
 // Called once, from any thread. Errors: kUnreachable, kConnectionLost and
-// kTimeout if there was no answer; kMalformed if it made no sense; kOverloaded
-// if it was not asked because all connections to the leaf were taken.
+// kTimeout if there was no answer; kMalformed if the answer was invalid;
+// kOverloaded if nothing was sent because all connections to the leaf were in
+// use.
 using HealthCallback = std::function<void(base::Result<LeafHealth>)>;
 using ReadHealth = std::function<
     void(const blackboard::Upstream&, base::Duration timeout, HealthCallback)>;
@@ -27,7 +28,7 @@
   explicit HealthClient(std::shared_ptr<LeafConnections> connections)
       : connections_(std::move(connections)) {}
 
-  // Stays valid after this object is gone.
+  // Stays valid after this object is destroyed.
   ReadHealth read_health() const;
 
  private:
--- a/src/upstream/health_poller.cc
+++ b/src/upstream/health_poller.cc
@@ -1,4 +1,4 @@
-// The schedule of health reads.
+// Implementation of upstream::HealthPoller.
 
 #include "src/upstream/health_poller.h"
 
@@ -87,7 +87,7 @@
                clock_.Now() + Jitter(random_, settings_.role_check_interval));
     callbacks_.did_skip(*name);
   }
-  // The end of a read goes on from here.
+  // DidRead() schedules the rest once a read has ended.
 }
 
 void HealthPoller::Read(const std::string& name,
--- a/src/upstream/health_poller.h
+++ b/src/upstream/health_poller.h
@@ -1,6 +1,7 @@
-// Decides when this daemon reads the health of which leaf: of those that it
-// has a role for at their intervals, jittered, and never more than a few at
-// once. The others are only asked about their role, more seldom.
+// Schedules this daemon's health reads. Leaves that this daemon is responsible
+// for are read at their intervals, with random variation and a limit on
+// concurrent reads. For the others it only checks, less often, whether it has
+// become responsible.
 
 #ifndef MEDLARSPREAD_UPSTREAM_HEALTH_POLLER_H_
 #define MEDLARSPREAD_UPSTREAM_HEALTH_POLLER_H_
@@ -22,25 +23,26 @@
 
 namespace medlarspread::upstream {
 
-// A duration drawn evenly from 75 to 125 of 100 of the given one.
+// A random duration, uniformly distributed between 75% and 125% of the given
+// one.
 base::Duration Jitter(base::Random& random, base::Duration duration);
 
 struct HealthPollerCallbacks {
-  // The leaf, or null if it is gone.
+  // The leaf, or null if it no longer exists.
   std::function<const blackboard::Upstream*(const std::string& name)> find;
   std::function<bool(const blackboard::Upstream&)> should_poll;
-  // How long the next read of the leaf, which is known, may wait.
+  // The time until the next read of the leaf, which must exist.
   std::function<base::Duration(const std::string& name)> interval;
   std::function<void(const std::string& name,
                      base::MonotonicTime asked,
                      const base::Result<LeafHealth>&)>
       did_read;
-  // The leaf came up and this daemon has no role for it.
+  // The leaf was due, but this daemon is not responsible for it.
   std::function<void(const std::string& name)> did_skip;
 };
 
-// Used on the control sequence only, but for the counters. Must be held by a
-// shared pointer; timers and reads in flight hold it weakly.
+// Must be used on the control sequence only, except for the counters. Must be
+// held by a shared pointer; timers and pending reads hold it weakly.
 class HealthPoller : public std::enable_shared_from_this<HealthPoller> {
  public:
   // `settings` and `random` must outlive this object.
@@ -52,10 +54,10 @@
                HealthPollerCallbacks callbacks);
 
   void Stop() { is_stopped_ = true; }
-  // The leaf is new: comes up at once.
+  // Adds a new leaf, which is due at once.
   void Add(const std::string& name);
   void Remove(const std::string& name);
-  // Every leaf comes up within one health interval.
+  // Makes every leaf due within one health interval.
   void RefreshRoles();
 
   std::int64_t reads() const { return reads_; }
@@ -77,10 +79,10 @@
   const HealthPollerCallbacks callbacks_;
 
   bool is_stopped_ = false;
-  // Holds every leaf, except those whose health is being read.
+  // Contains every leaf except those whose health is being read.
   DueQueue queue_;
   std::set<std::string> reading_;
-  // The timer for this time is the one that counts; earlier ones are void.
+  // Only the timer for this time is valid; earlier ones do nothing.
   std::optional<base::MonotonicTime> timer_due_;
   std::atomic<std::int64_t> reads_ = 0;
   std::atomic<std::int64_t> failures_ = 0;
--- a/src/upstream/leaf_client.cc
+++ b/src/upstream/leaf_client.cc
@@ -1,4 +1,4 @@
-// The leaf port over HTTP.
+// Implementation of upstream::LeafClient: a LeafPort over HTTP.
 
 #include "src/upstream/leaf_client.h"
 
@@ -81,11 +81,11 @@
     ++queries_sent_;
     return;
   }
-  Refuse(address, ErrorCode::kOverloaded, "all connections to the leaf taken",
-         callback);
+  Refuse(address, ErrorCode::kOverloaded,
+         "all connections to the leaf are in use", callback);
 }
 
-// Nothing is sent, so the request does not run.
+// Fails a request that was not sent and therefore does not run.
 void LeafClient::Impl::Refuse(const std::string& address,
                               ErrorCode code,
                               const char* detail,
@@ -100,8 +100,8 @@
 
 void LeafClient::Impl::Cancel(const Upstream& upstream,
                               const std::string& attempt_id) {
-  // The answer tells only whether the leaf knew the attempt; nothing depends
-  // on it, and the query's own reply tells the rest.
+  // The answer only tells whether the leaf knew the attempt and is ignored; the
+  // query's own reply tells the rest.
   const bool is_sent = connections_->TrySend(
       upstream, LeafConnections::Use::kControl, EncodeCancel(attempt_id),
       settings_.cancel_timeout, [](const base::Result<http::Response>&) {});
--- a/src/upstream/leaf_client.h
+++ b/src/upstream/leaf_client.h
@@ -1,4 +1,4 @@
-// Sends shard requests to leaves over HTTP and judges their replies.
+// Sends shard requests to leaves over HTTP and classifies their replies.
 
 #ifndef MEDLARSPREAD_UPSTREAM_LEAF_CLIENT_H_
 #define MEDLARSPREAD_UPSTREAM_LEAF_CLIENT_H_
@@ -15,17 +15,17 @@
 
 struct LeafClientSettings {
   LeafConnectionSettings connections;
-  // How long a cancel may take.
+  // Timeout of a cancel request.
   base::Duration cancel_timeout = base::Milliseconds(1'000);
-  // How long a request that could not be sent for lack of connections is told
-  // to wait.
+  // The retry delay of a request that was not sent because all connections were
+  // in use.
   base::Duration retry_after = base::Milliseconds(20);
 };
 
 struct LeafClientCounters {
   std::int64_t queries_sent = 0;
-  // Not sent: the deadline had passed, or the leaf's connections here were all
-  // taken.
+  // Not sent, because the deadline had passed or all connections of this daemon
+  // to the leaf were in use.
   std::int64_t queries_refused = 0;
   std::int64_t cancels_sent = 0;
   std::int64_t cancels_refused = 0;
@@ -33,21 +33,22 @@
   LeafConnectionCounters connections;
 };
 
-// Safe to use from any thread.
+// Thread-safe.
 class LeafClient {
  public:
-  // Replies are parsed and callbacks run on sequences of `traffic`, one a leaf.
+  // Replies are parsed and callbacks run on sequences of `traffic`, one per
+  // leaf.
   LeafClient(LeafClientSettings settings,
              base::Clock clock,
              base::TaskRunner traffic);
-  // Requests in flight still call back.
+  // Requests in flight still call back after destruction.
   ~LeafClient();
   LeafClient(const LeafClient&) = delete;
   LeafClient& operator=(const LeafClient&) = delete;
 
-  // Stays valid after this object is gone.
+  // Stays valid after this object is destroyed.
   LeafPort port();
-  // For HealthClient, which shares the bound on connections.
+  // For HealthClient, which shares the limit on connections.
   std::shared_ptr<LeafConnections> connections() const;
   LeafClientCounters counters() const;
 
--- a/src/upstream/leaf_connections.cc
+++ b/src/upstream/leaf_connections.cc
@@ -1,4 +1,4 @@
-// One HTTP client a leaf, bounded and dropped when idle.
+// Implementation of upstream::LeafConnections.
 
 #include "src/upstream/leaf_connections.h"
 
@@ -11,15 +11,15 @@
 
 namespace {
 
-// An idle client is dropped at most this share of the idle time too late.
+// An idle client is dropped late by at most the idle time divided by this.
 constexpr int kSweepsPerIdleTime = 4;
 
 }  // namespace
 
-// The mutex makes the check of the bound and the send one step.
+// The mutex makes checking the limit and sending one atomic step.
 struct LeafConnections::Leaf {
-  // Requests in flight, those on replaced clients included. Drops replaced
-  // clients that have none left. Call with `mutex` held.
+  // The number of requests in flight, including those on replaced clients.
+  // Drops replaced clients that have none left. `mutex` must be held.
   int CountInFlight() {
     std::erase_if(replaced,
                   [](const auto& old) { return old->in_flight() == 0; });
@@ -82,12 +82,12 @@
   const auto leaf = FindOrOpen(address);
   const std::lock_guard lock(leaf->mutex);
   if (leaf->opened > sent) {
-    // The client was replaced since.
+    // The client has been replaced since then.
     return;
   }
   leaf->replaced.push_back(std::move(leaf->client));
   leaf->client = MakeClient(address);
-  // NOTE: a request sent at this very moment used the former client.
+  // NOTE: a request sent at this very moment used the previous client.
   leaf->opened = clock_.Now() + base::Duration(1);
   ++clients_replaced_;
 }
@@ -101,8 +101,8 @@
     leaf->client = MakeClient(address);
     leaf->opened = clock_.Now();
   }
-  // Marked under the lock of the map: a client that is about to send is never
-  // dropped, so two clients never share one leaf's bound.
+  // Set while the map is locked: a client that is about to send is then never
+  // dropped, so that a leaf never has two clients at once.
   leaf->last_used = clock_.Now().microseconds;
   return leaf;
 }
@@ -116,7 +116,7 @@
 }
 
 void LeafConnections::ScheduleSweep() {
-  // The timer must not keep the clients alive for ever.
+  // The timer must not keep this object alive forever.
   traffic_.After(settings_.idle_time / kSweepsPerIdleTime,
                  [weak = weak_from_this()] {
                    if (const auto self = weak.lock()) {
@@ -127,7 +127,8 @@
 }
 
 void LeafConnections::DropIdle() {
-  // Declared before the lock: the clients are destroyed after its release.
+  // Declared before the lock, so that the clients are destroyed after its
+  // release.
   std::vector<std::shared_ptr<Leaf>> dropped;
   const base::MonotonicTime oldest = clock_.Now() - settings_.idle_time;
   const std::lock_guard lock(mutex_);
--- a/src/upstream/leaf_connections.h
+++ b/src/upstream/leaf_connections.h
@@ -1,7 +1,7 @@
-// The HTTP clients towards all leaves: one a leaf address, made on demand and
-// dropped once it has been idle for a while, so that a daemon that no longer
-// holds a leaf's queue gives its connections back. Bounds the requests in
-// flight to each leaf, and with them the connections.
+// The HTTP clients for all leaves: one per leaf address, created on demand and
+// dropped after some idle time, so that a daemon that no longer holds a leaf's
+// queue releases its connections. Limits the requests in flight to each leaf,
+// and thereby the connections.
 
 #ifndef MEDLARSPREAD_UPSTREAM_LEAF_CONNECTIONS_H_
 #define MEDLARSPREAD_UPSTREAM_LEAF_CONNECTIONS_H_
@@ -22,11 +22,11 @@
 namespace medlarspread::upstream {
 
 struct LeafConnectionSettings {
-  // Requests in flight to one leaf at most, timed-out ones included: the HTTP
-  // library opens a connection whenever none is idle. The leaf's own number of
-  // connections also bounds it, if lower.
+  // Limit of requests in flight to one leaf, including timed-out ones, because
+  // the HTTP library opens a connection whenever none is idle. The leaf's own
+  // number of connections is a further limit.
   int max_in_flight_per_leaf = 8;
-  // Of these, how many are kept from queries, for cancels and health.
+  // How many of these are reserved for cancels and health reads.
   int reserved_for_control = 1;
   // A client that has sent nothing for this long is dropped with its
   // connections.
@@ -37,37 +37,37 @@
 struct LeafConnectionCounters {
   std::int64_t clients_opened = 0;
   std::int64_t clients_dropped = 0;
-  // Clients replaced because a reply was for another request.
+  // Clients replaced because a reply belonged to another request.
   std::int64_t clients_replaced = 0;
-  // Now: clients kept, and requests in flight over all of them.
+  // Current numbers of clients, and of requests in flight on all of them.
   int clients = 0;
   int in_flight = 0;
 };
 
-// Safe to use from any thread. Must be held by a shared pointer.
+// Thread-safe. Must be held by a shared pointer.
 class LeafConnections : public std::enable_shared_from_this<LeafConnections> {
  public:
   enum class Use { kQuery, kControl };
 
-  // `traffic` gives each leaf a sequence, on which its callbacks run.
+  // `traffic` provides a sequence for each leaf, on which its callbacks run.
   LeafConnections(LeafConnectionSettings settings,
                   base::Clock clock,
                   base::TaskRunner traffic);
 
-  // Starts dropping idle clients. Call once.
+  // Starts dropping idle clients. Must be called once.
   void Start();
 
-  // Sends if the leaf's bound allows it. Returns false, and never calls back,
-  // if it does not. See http::Client::Send for the results.
+  // Sends the request if the leaf's limit allows it; otherwise returns false
+  // and never calls back. See http::Client::Send for the results.
   bool TrySend(const blackboard::Upstream& upstream,
                Use use,
                const http::Request& message,
                base::Duration timeout,
                http::Client::Callback callback);
 
-  // A reply to a request sent at `sent` was not for that request: one of the
-  // connections then open is out of step, and every later reply on it would
-  // be wrong too. None of them is used again.
+  // A reply to a request sent at `sent` belonged to another request: replies on
+  // one of the connections then open are out of order, and all later ones on it
+  // would be wrong too. None of these connections is used again.
   void DidCrossReplies(const std::string& address, base::MonotonicTime sent);
 
   LeafConnectionCounters counters() const;
--- a/src/upstream/leaf_directory.cc
+++ b/src/upstream/leaf_directory.cc
@@ -1,4 +1,4 @@
-// One row for each leaf with an entry that can be read.
+// Implementation of upstream::LeafDirectory.
 
 #include "src/upstream/leaf_directory.h"
 
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Starts are remembered of so many leaves more than there are, so that a late
-// write of a leaf that is gone is known for what it is. A fleet of 8,700 leaves
-// replaces some hundred in the seconds in which a write may come late.
+// How many leaves that are gone are remembered, so that a late write of one is
+// recognized. A fleet of 8,700 leaves replaces some hundred in the seconds
+// within which a late write may arrive.
 constexpr std::size_t kMostGone = 4'000;
 
 const char* StateName(blackboard::UpstreamState state) {
@@ -40,18 +40,20 @@
   blackboard::Upstream& upstream = entry.upstream;
   Life& life = lives_[upstream.id];
   if (entry.started_wall_ms == 0 && life.started_wall_ms != 0) {
-    DidSpoil(upstream.id,
-             base::MakeError(base::ErrorCode::kMalformed,
-                             base::Step::kWatchStore, upstream.address,
-                             "leaf " + upstream.id +
-                                 " told when it started, this entry does not"));
+    DidSpoil(
+        upstream.id,
+        base::MakeError(
+            base::ErrorCode::kMalformed, base::Step::kWatchStore,
+            upstream.address,
+            "leaf " + upstream.id +
+                " reported its start time earlier, but not in this entry"));
     return;
   }
   if (IsOutdated(entry, life)) {
     log_.Write({.level = base::LogLevel::kInfo,
                 .step = base::Step::kWatchStore,
                 .peer = upstream.address,
-                .message = "left out an old entry of leaf " + upstream.id +
+                .message = "ignored an outdated entry of leaf " + upstream.id +
                            ": start " + std::to_string(entry.started_wall_ms) +
                            " of " + std::to_string(life.started_wall_ms) +
                            ", number " + std::to_string(entry.sequence) +
@@ -91,8 +93,8 @@
   }
   const bool was_in_use = EraseRow(life->second);
   if (life->second.started_wall_ms == 0) {
-    // NOTE: the numbers begin anew with each start; without the time of the
-    // start nothing tells one from another.
+    // NOTE: sequence numbers restart with each start, and without the start
+    // time the starts can't be distinguished.
     lives_.erase(life);
   }
   if (was_in_use) {
@@ -106,9 +108,10 @@
 void LeafDirectory::DidSpoil(const std::string& id, const base::Error& error) {
   const auto life = lives_.find(id);
   const bool was_in_use = life != lives_.end() && EraseRow(life->second);
-  log_.DidFail(error, was_in_use ? "the leaf is out of use until its entry can "
-                                   "be read again"
-                                 : "an entry that can't be read is left out");
+  log_.DidFail(error, was_in_use
+                          ? "the leaf is not used until a valid entry is "
+                            "written"
+                          : "ignored an invalid entry");
 }
 
 bool LeafDirectory::EraseRow(Life& life) {
--- a/src/upstream/leaf_message.cc
+++ b/src/upstream/leaf_message.cc
@@ -1,4 +1,4 @@
-// Writing requests to a leaf and judging its replies.
+// Encoding of requests to a leaf and decoding of its replies.
 
 #include "src/upstream/leaf_message.h"
 
@@ -26,11 +26,11 @@
 using store::ReadString;
 using web::json::value;
 
-// More holdings than this in one message are not believed.
+// Messages with more holdings than this are rejected.
 constexpr std::size_t kMaxHoldings = 4096;
-// Slots and connections above this are not believed.
+// Larger numbers of slots or connections are rejected.
 constexpr std::int64_t kMaxCapacity = 100'000;
-// A leaf can't ask to be left alone for longer than this.
+// Upper limit of the retry delay that a leaf may request.
 constexpr std::int64_t kMaxRetryAfterMilliseconds = 60'000;
 
 constexpr base::NameTable<UpstreamState, 3> kStateNames{{{
@@ -93,7 +93,7 @@
       {static_cast<std::int32_t>(*low), static_cast<std::int32_t>(*high)}};
 }
 
-// Sorted; absent if any row is invalid, since a partial list would look as if
+// Sorted. Absent if any row is invalid, since a partial list would look as if
 // the leaf had dropped the rest.
 std::optional<std::vector<Holding>> ReadHoldings(const value& body) {
   const value* rows = FindArray(body, "holdings");
@@ -112,8 +112,8 @@
   return holdings;
 }
 
-// The name of the first field of `body` that is not what `request` asked for,
-// or null if all are.
+// The name of the first field of `body` that does not match `request`, or null
+// if all match.
 const char* FindDifference(const LeafRequest& request, const value& body) {
   if (ReadString(body, "attempt_id") != request.attempt_id) {
     return "attempt_id";
@@ -152,7 +152,8 @@
                        const std::string& peer,
                        const value& body) {
   if (const char* field = FindDifference(request, body)) {
-    return FailMismatch(peer, std::string("the answer has another ") + field);
+    return FailMismatch(peer,
+                        std::string("the answer has a different ") + field);
   }
   LeafReply reply;
   reply.outcome = LeafOutcome::kAnswered;
@@ -162,7 +163,7 @@
   return reply;
 }
 
-// A 409 or 503. Without `"ran":false` it may have run.
+// Decodes a 409 or 503. Without `"ran":false` the request may have run.
 LeafReply DecodeRefusal(const LeafRequest& request,
                         const std::string& peer,
                         int status,
@@ -171,8 +172,8 @@
   if (ReadBoolean(body, "ran") != false) {
     return FailMismatch(peer, status_text + " without \"ran\":false");
   }
-  // NOTE: refusals need not name the attempt; one that names another is not
-  // for this request.
+  // NOTE: a refusal need not contain an attempt_id, but one with a different
+  // attempt_id is for another request.
   if (HasField(body, "attempt_id") &&
       ReadString(body, "attempt_id") != request.attempt_id) {
     return FailMismatch(peer, status_text + " for another attempt_id");
@@ -209,16 +210,16 @@
       return DecodeRefusal(request, peer, status, body);
     case http::kGatewayTimeout:
       return Fail(LeafOutcome::kTimeout, ErrorCode::kTimeout, peer,
-                  "the leaf gave up at the deadline");
+                  "the leaf aborted the request at its deadline");
     case http::kBadRequest:
       return Fail(LeafOutcome::kMismatch, ErrorCode::kInvalidArgument, peer,
-                  "the leaf found a field invalid");
+                  "the leaf rejected a field as invalid");
     default:
       return FailMismatch(peer, "unexpected status " + std::to_string(status));
   }
 }
 
-// The exchange ended without a response that could be read.
+// Classifies an exchange that ended without a valid response.
 LeafReply DecodeFailure(const base::Error& error) {
   LeafReply reply;
   reply.error = error;
@@ -234,7 +235,7 @@
   return reply;
 }
 
-// The state that a refusal implies when the body doesn't state one.
+// The state that a refusal implies if the body doesn't state one.
 std::optional<UpstreamState> StateOfOutcome(LeafOutcome outcome) {
   switch (outcome) {
     case LeafOutcome::kDraining:
@@ -299,7 +300,7 @@
   }
   LeafReply reply = DecodeBody(request, peer, response.status, *body);
   if (reply.outcome == LeafOutcome::kMismatch) {
-    // A reply that is not for this request says nothing of the leaf either.
+    // A reply to another request is no evidence of the leaf's state either.
     return reply;
   }
   reply.state = StateOfOutcome(reply.outcome);
--- a/src/upstream/leaf_message.h
+++ b/src/upstream/leaf_message.h
@@ -1,5 +1,5 @@
-// The bodies of the upstream interface: what is written to a leaf and what its
-// replies mean. Pure functions; no I/O.
+// The message bodies of the upstream interface: encoding of requests to a leaf
+// and decoding of its replies. Pure functions without I/O.
 
 #ifndef MEDLARSPREAD_UPSTREAM_LEAF_MESSAGE_H_
 #define MEDLARSPREAD_UPSTREAM_LEAF_MESSAGE_H_
@@ -16,20 +16,21 @@
 // `POST /v1/query` for one shard.
 http::Request EncodeQuery(const LeafRequest& request);
 
-// `POST /v1/cancel` for an attempt that is no longer wanted.
+// `POST /v1/cancel` for an attempt that is no longer needed.
 http::Request EncodeCancel(const std::string& attempt_id);
 
-// What `result`, the end of the exchange with the leaf at `peer`, means for
-// `request`. Never throws, whatever the body holds. A 200 counts as answered
-// only if it names this very attempt, request, collection, snapshot and range
-// and has as many items as it says; a refusal counts as "not run" only if it
-// says so. Everything else may have run.
+// Classifies `result`, the outcome of the exchange with the leaf at `peer`, as
+// the reply to `request`. Never throws, whatever the body contains. A 200
+// counts as answered only if it names exactly this attempt, request,
+// collection, snapshot and range, and contains as many items as it states. A
+// refusal counts as "not run" only if it says so. In all other cases the
+// request may have run.
 LeafReply DecodeReply(const LeafRequest& request,
                       const std::string& peer,
                       const base::Result<http::Response>& result);
 
-// What `GET /v1/health` says of a leaf. `name` is absent if the body gives
-// none.
+// The health of a leaf as returned by `GET /v1/health`. `name` and `collection`
+// are absent if the body does not contain them.
 struct LeafHealth {
   std::optional<std::string> name;
   std::optional<std::string> collection;
@@ -39,7 +40,7 @@
   std::vector<blackboard::Holding> holdings;
 };
 
-// kMalformed if the body lacks a field or holds an invalid one.
+// Returns kMalformed if a field of the body is missing or invalid.
 base::Result<LeafHealth> DecodeHealth(
     const std::string& peer,
     const base::Result<http::Response>& result);
--- a/src/upstream/leaf_port.cc
+++ b/src/upstream/leaf_port.cc
@@ -1,4 +1,4 @@
-// Names and properties of the outcomes of one request to a leaf.
+// Names and properties of the outcomes of a request to a leaf.
 
 #include "src/upstream/leaf_port.h"
 
--- a/src/upstream/leaf_port.h
+++ b/src/upstream/leaf_port.h
@@ -1,5 +1,5 @@
-// What the routing code asks of a leaf and what it can learn from the reply.
-// On a daemon upstream::LeafClient fills the port in; in tests a fake does.
+// The interface through which the routing code sends requests to leaves. It is
+// implemented by upstream::LeafClient, and by a fake in tests.
 
 #ifndef MEDLARSPREAD_UPSTREAM_LEAF_PORT_H_
 #define MEDLARSPREAD_UPSTREAM_LEAF_PORT_H_
@@ -16,14 +16,14 @@
 namespace medlarspread::upstream {
 
 struct LeafRequest {
-  // Unique over all attempts of all daemons and incarnations.
+  // Unique among all attempts of all daemons and incarnations.
   std::string attempt_id;
   std::string request_id;
   std::string class_name;
   std::string collection;
   blackboard::Snapshot snapshot;
   blackboard::KeyRange range;
-  // Time left; passed on to the leaf.
+  // Remaining time; sent to the leaf.
   base::Duration deadline_left{};
   bool is_at_most_once = false;
   // The caller's query as JSON text.
@@ -31,21 +31,21 @@
 };
 
 enum class LeafOutcome {
-  // The whole answer for the requested range and snapshot.
+  // The complete answer for the requested range and snapshot.
   kAnswered,
-  // Refused by the leaf, which says that it did not run the request.
+  // Refused by the leaf, which states that it did not run the request.
   kWrongSnapshot,
   kShed,
   kDraining,
   kCold,
-  // The connection was refused: nothing was sent.
+  // The connection was refused; nothing was sent.
   kUnreachable,
-  // Another incarnation has the address by now; it did not run the request.
+  // Another incarnation now has the address; it did not run the request.
   kReplaced,
-  // The leaf ran the request and reports a failure of its own.
+  // The leaf ran the request and reports an internal failure.
   kFailed,
   // The request may have run: no reply in time, connection lost, or a reply
-  // that is truncated, malformed or for something else.
+  // that is truncated, malformed or belongs to something else.
   kTimeout,
   kLost,
   kMismatch,
@@ -53,30 +53,30 @@
 
 const char* LeafOutcomeName(LeafOutcome outcome);
 
-// Whether the leaf may have run the request although there is no answer.
+// Whether the leaf may have run the request, even without an answer.
 bool MayHaveRun(LeafOutcome outcome);
 
 struct LeafReply {
   LeafOutcome outcome = LeafOutcome::kLost;
-  // A JSON array, as text. Set only when answered.
+  // A JSON array as text. Set only if answered.
   std::string items;
   base::Duration service_time{};
-  // What the reply says of the leaf; absent when there was no reply.
+  // The state of the leaf according to the reply, if any.
   std::optional<blackboard::UpstreamState> state;
-  // What the leaf holds; set on kWrongSnapshot.
+  // The leaf's holdings; set on kWrongSnapshot.
   std::vector<blackboard::Holding> holdings;
   base::Duration retry_after{};
-  // Set unless answered; carries the step and the leaf's address.
+  // Set unless answered. Contains the step and the leaf's address.
   base::Error error;
 };
 
 struct LeafPort {
   using Callback = std::function<void(LeafReply)>;
 
-  // Calls back once, from any traffic thread, at the latest when the deadline
-  // has passed.
+  // Calls back exactly once, from any traffic thread, no later than the
+  // deadline.
   std::function<void(const blackboard::Upstream&, LeafRequest, Callback)> send;
-  // Best effort: the leaf drops the work if it has not finished.
+  // Best effort: the leaf drops the request if it has not finished.
   std::function<void(const blackboard::Upstream&, std::string attempt_id)>
       cancel;
 };
--- a/src/upstream/observation_filter.cc
+++ b/src/upstream/observation_filter.cc
@@ -1,4 +1,4 @@
-// The filter of replies between traffic and control.
+// Implementation of upstream::ObservationFilter.
 
 #include "src/upstream/observation_filter.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// More than enough for UpstreamRecord's rows of failures.
+// Larger than the numbers of successive failures that UpstreamRecord counts.
 constexpr int kMaxPassedPerInterval = 16;
 
 bool IsFailure(LeafOutcome outcome) {
--- a/src/upstream/observation_filter.h
+++ b/src/upstream/observation_filter.h
@@ -1,6 +1,6 @@
-// Decides on the traffic threads which replies the control thread must see. At
-// tens of thousands of replies a second most say only that a leaf serves, as
-// is known; the control thread takes note of that now and then.
+// Decides on the traffic threads which replies are passed to the control
+// thread. Of tens of thousands of replies a second, most only confirm that a
+// leaf is serving; the control thread receives such replies occasionally.
 
 #ifndef MEDLARSPREAD_UPSTREAM_OBSERVATION_FILTER_H_
 #define MEDLARSPREAD_UPSTREAM_OBSERVATION_FILTER_H_
@@ -15,16 +15,16 @@
 
 namespace medlarspread::upstream {
 
-// Safe to use from any thread.
+// Thread-safe.
 class ObservationFilter {
  public:
   explicit ObservationFilter(base::Duration interval) : interval_(interval) {}
 
-  // Whether `reply` of `known`, a leaf as it is published now, is news: it
-  // contradicts what is known, it is a failure, it ends a row of failures, or
-  // nothing was passed on for the interval. Of one leaf's failures and
-  // contradictions a few an interval are passed on, the first word that it
-  // drains always.
+  // Whether `reply` of `known`, a leaf as currently published, must be passed
+  // on: it contradicts the known state, is a failure, ends a series of
+  // failures, or none was passed on for the interval. Failures and
+  // contradictions of one leaf are limited to a few per interval, but the first
+  // reply that states draining is always passed on.
   bool IsNews(const blackboard::Upstream& known,
               const LeafReply& reply,
               base::MonotonicTime now);
@@ -33,7 +33,7 @@
  private:
   struct Row {
     base::MonotonicTime last_passed;
-    // Passed on since `interval_started`.
+    // Number passed on since `interval_started`.
     int passed = 0;
     base::MonotonicTime interval_started;
     bool has_failed = false;
--- a/src/upstream/reply_json.cc
+++ b/src/upstream/reply_json.cc
@@ -1,4 +1,4 @@
-// Checks of JSON that the library leaves out.
+// JSON checks that the library does not perform.
 
 #include "src/upstream/reply_json.h"
 
@@ -21,8 +21,8 @@
   });
 }
 
-// The JSON parser lets bytes that are not UTF-8 pass. They would go on to
-// callers inside the items, so they are refused here.
+// The JSON parser accepts invalid UTF-8. It would be passed on to callers in
+// the items, so it is rejected here.
 bool IsUtf8(const std::string& text) {
   if (IsAscii(text)) {
     return true;
@@ -35,9 +35,9 @@
   }
 }
 
-// The parser turns a number too large for a double into infinity, which can't
-// be written as JSON again. Recursion is bounded by the parser's own limit on
-// nesting.
+// The parser converts a number too large for a double into infinity, which
+// can't be written as JSON again. The recursion depth is limited by the
+// parser's own nesting limit.
 bool HasOnlyFiniteNumbers(const web::json::value& value) {
   if (value.is_number()) {
     return std::isfinite(value.as_double());
--- a/src/upstream/reply_json.h
+++ b/src/upstream/reply_json.h
@@ -1,5 +1,5 @@
-// Reading JSON that a leaf wrote, part of which goes on to callers: stricter
-// than platform/json_fields.h, which serves for the fields of what was read.
+// Parses JSON written by leaves, parts of which are passed on to callers. It is
+// stricter than store/json_fields.h, which reads the fields of parsed values.
 
 #ifndef MEDLARSPREAD_UPSTREAM_REPLY_JSON_H_
 #define MEDLARSPREAD_UPSTREAM_REPLY_JSON_H_
@@ -15,9 +15,9 @@
 
 namespace medlarspread::upstream {
 
-// The object that `text` holds, or null if it is not valid JSON in UTF-8,
-// nests too deeply, holds a number beyond the range of a double or is not an
-// object. Never throws.
+// The JSON object in `text`, or null if it is not valid JSON in UTF-8, is
+// nested too deeply, contains a number outside the range of a double or is not
+// an object. Never throws.
 std::unique_ptr<web::json::value> ParseReply(const std::string& text);
 
 // The field if it is a boolean, or nothing.
--- a/src/upstream/upstream_controller.cc
+++ b/src/upstream/upstream_controller.cc
@@ -1,4 +1,5 @@
-// Reading the list and health, taking in replies and news, publishing.
+// Implementation of upstream::UpstreamController: reads of the list and of
+// health, observations from replies and peers, and publishing.
 
 #include "src/upstream/upstream_controller.h"
 
@@ -22,8 +23,8 @@
 using blackboard::UpstreamState;
 using store::Vm;
 
-// All members run on the control sequence, but for Observe() and counters().
-// Timers and callbacks hold the object weakly: they end with it.
+// All members run on the control sequence, except Observe() and counters().
+// Timers and callbacks hold the object weakly and end with it.
 class UpstreamController::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(UpstreamSettings settings,
@@ -35,7 +36,7 @@
        blackboard::Blackboard& blackboard,
        UpstreamCallbacks callbacks);
 
-  // Runs `task` on the control sequence while this object lives.
+  // Runs `task` on the control sequence if this object still exists.
   template <typename Function>
   void Post(Function task) {
     control_.Post(Guard(std::move(task)));
@@ -55,7 +56,7 @@
   UpstreamCounters counters() const;
 
  private:
-  // `task` bound weakly to this object.
+  // Wraps `task` with a weak reference to this object.
   template <typename Function>
   base::Task Guard(Function task) {
     return [weak = weak_from_this(), task = std::move(task)] {
@@ -71,8 +72,8 @@
 
   HealthPollerCallbacks MakePollerCallbacks();
 
-  // Runs `change` on the record of `name`, if there is one, and sees to what
-  // follows from it.
+  // Runs `change` on the record of `name`, if there is one, and then
+  // DidChange().
   template <typename Function>
   void Change(const std::string& name, Function change);
   void DidChange(UpstreamRecord& record, const Upstream* published);
@@ -90,7 +91,7 @@
   bool is_running_ = false;
   std::map<std::string, UpstreamRecord> records_;
 
-  // Its callbacks refer to this object, which outlives it: see the rule on
+  // Its callbacks refer to this object, which outlives it; see the rule on
   // destruction in the header.
   const std::shared_ptr<HealthPoller> poller_;
 
@@ -159,8 +160,8 @@
   control_.After(Jitter(random_, settings_.list_interval),
                  Guard([](Impl& impl) { impl.ReadList(); }));
   if (!vms.is_ok()) {
-    // The last list stays good: ages are counted from the last success, so
-    // nothing vanishes while the list can't be read.
+    // The last list stays valid: ages are counted from the last success, so no
+    // leaf is forgotten while the list can't be read.
     ++list_failures_;
     return;
   }
@@ -226,7 +227,7 @@
   return callbacks;
 }
 
-// --- Replies and news ---
+// --- Replies and reports from peers ---
 
 void UpstreamController::Impl::Observe(const std::string& name,
                                        const LeafReply& reply) {
@@ -237,7 +238,7 @@
     return;
   }
   ++observations_;
-  // The items, which may be large, are not needed here.
+  // The items are not needed here and may be large.
   LeafReply news;
   news.outcome = reply.outcome;
   news.state = reply.state;
@@ -299,7 +300,8 @@
   }
 }
 
-// Publishes once `interval` has passed since the last time, at once if it has.
+// Publishes once `interval` has passed since the last publication; at once if
+// it already has.
 void UpstreamController::Impl::RequestPublish(Duration interval) {
   const MonotonicTime now = clock_.Now();
   const MonotonicTime due =
@@ -308,8 +310,8 @@
     return;
   }
   publish_due_ = due;
-  // NOTE: posted even when due now, so that all news of one task goes out in
-  // one value.
+  // NOTE: posted even when due now, so that all changes of one task are
+  // published together.
   control_.After(due - now, Guard([due](Impl& impl) {
                    if (impl.publish_due_ == due) {
                      impl.Publish();
--- a/src/upstream/upstream_controller.h
+++ b/src/upstream/upstream_controller.h
@@ -1,7 +1,7 @@
-// Keeps `blackboard.upstreams`: which leaves there are, what they hold and
-// whether they take work. It reads the platform's list and the leaves' health,
-// takes in what replies say and what peers have heard, and leaves the weighing
-// of these to UpstreamRecord.
+// Maintains `blackboard.upstreams`: the known leaves, what they hold and
+// whether they accept requests. It reads the platform's VM list and the leaves'
+// health, and receives observations from replies and from peers. UpstreamRecord
+// decides how these are combined.
 
 #ifndef MEDLARSPREAD_UPSTREAM_UPSTREAM_CONTROLLER_H_
 #define MEDLARSPREAD_UPSTREAM_UPSTREAM_CONTROLLER_H_
@@ -24,11 +24,13 @@
 
 // Called on the control sequence.
 struct UpstreamCallbacks {
-  // Whether this daemon reads the health of the leaf. True on the few daemons
-  // that hold its queues; it bounds the load of health reads on both sides.
+  // Whether this daemon reads the health of the leaf. True only on the few
+  // daemons that hold the leaf's queues, which limits the load of health reads
+  // on both sides.
   std::function<bool(const blackboard::Upstream&)> should_poll;
-  // A leaf was found to drain by its reply, its health or the list, not by
-  // news from peers. Called again now and then while that is still said.
+  // A reply, health or the list showed that the leaf is draining; not called
+  // for notices from peers. Repeated occasionally while the leaf keeps
+  // draining.
   std::function<void(const std::string& name)> did_find_draining;
 };
 
@@ -37,13 +39,13 @@
   std::int64_t list_failures = 0;
   std::int64_t health_reads = 0;
   std::int64_t health_failures = 0;
-  // Replies that were passed to the control sequence.
+  // Replies passed to the control sequence.
   std::int64_t observations = 0;
   std::int64_t publications = 0;
 };
 
-// Safe to use from any thread; the work is done on the control sequence. Must
-// be destroyed on that sequence or after its threads have ended.
+// Thread-safe: the work is done on the control sequence. Must be destroyed on
+// that sequence or after its threads have ended.
 class UpstreamController {
  public:
   // `random` and `blackboard` must outlive the control sequence's tasks.
@@ -59,21 +61,21 @@
   UpstreamController(const UpstreamController&) = delete;
   UpstreamController& operator=(const UpstreamController&) = delete;
 
-  // Starts reading the list and the health of leaves. Call once.
+  // Starts reading the list and the health of leaves. Must be called once.
   void Start();
-  // Ends reading for good. The blackboard keeps its last value.
+  // Stops reading permanently. The blackboard keeps its last value.
   void Stop();
 
-  // A reply, or the lack of one, of the leaf called `name`.
+  // Reports a reply, or the lack of one, of the leaf called `name`.
   void Observe(const std::string& name, const LeafReply& reply);
-  // A peer said that the leaf was heard to drain `age` ago.
+  // A peer reported that the leaf was draining `age` ago.
   void DidHearDraining(const std::string& name, base::Duration age);
   // A peer read the leaf's health `age` ago.
   void DidHearHealth(const std::string& name,
                      const LeafHealth& health,
                      base::Duration age);
-  // The answers of should_poll may have changed: asks again for every leaf
-  // within one health interval.
+  // The results of should_poll may have changed. Checks every leaf again within
+  // one health interval.
   void DidChangeRoles();
 
   UpstreamCounters counters() const;
--- a/src/upstream/upstream_record.cc
+++ b/src/upstream/upstream_record.cc
@@ -1,4 +1,4 @@
-// The rules for one leaf.
+// Implementation of upstream::UpstreamRecord.
 
 #include "src/upstream/upstream_record.h"
 
@@ -38,7 +38,7 @@
   assert(vm.name == upstream_.name);
   if (vm.address != upstream_.address) {
     *this = UpstreamRecord(*settings_, vm, now);
-    // What peers still say of the former VM is old.
+    // Reports from peers that are still in transit concern the previous VM.
     draining_cleared_ = now;
     return;
   }
@@ -67,7 +67,7 @@
   const bool is_from_leaf = reply.outcome == LeafOutcome::kAnswered ||
                             reply.error.step == base::Step::kReadUpstream;
   if (!is_from_leaf) {
-    // Refused on this side, for lack of a connection: says nothing.
+    // Refused locally for lack of a connection; says nothing about the leaf.
     return;
   }
   last_alive_ = now;
@@ -104,7 +104,7 @@
       is_cold_ = false;
       return;
     case UpstreamState::kUnreachable:
-      // Never said by a leaf.
+      // Leaves never report this state.
       return;
   }
 }
@@ -123,10 +123,10 @@
     }
   } else if (health.error().code == ErrorCode::kMalformed ||
              health.error().code == ErrorCode::kOverloaded) {
-    // Answered, though not usefully, or not asked for lack of a connection.
+    // An invalid answer, or no request was sent for lack of a connection.
     return;
   }
-  // No answer, or that of another leaf that took over the address.
+  // No answer, or the answer of another leaf that took over the address.
   ++health_failures_;
   const bool is_working = last_working_reply_ + settings_->reply_hold > asked;
   if (!is_working && health_failures_ >= settings_->max_connection_failures) {
@@ -146,8 +146,8 @@
     if (asked < unreachable_since_ + unreachable_hold_) {
       return;
     }
-    // NOTE: health may be good while work still hangs, so the leaf comes back
-    // as a cold one and has to earn its share with replies.
+    // NOTE: health may be good while requests still hang, so the leaf comes
+    // back as cold and regains its share only with replies.
     is_unreachable_ = false;
     connection_failures_ = 0;
     silent_failures_ = 0;
@@ -197,7 +197,7 @@
 }
 
 void UpstreamRecord::DidHearDraining(MonotonicTime heard, MonotonicTime now) {
-  // News from before the leaf was seen to serve again is old.
+  // Reports from before the leaf was seen to serve again are outdated.
   if (heard > draining_cleared_) {
     MarkDraining(heard, now);
   }
@@ -210,8 +210,8 @@
   }
 }
 
-// A lost VM or link shows as silence, not as a refused connection. Short
-// deadlines do so too, hence the longer row and the time.
+// A lost VM or link causes timeouts instead of refused connections. So do short
+// deadlines, which is why more failures and a minimum time are required.
 void UpstreamRecord::DidFailSilently(MonotonicTime now) {
   if (silent_failures_ == 0) {
     first_silent_failure_ = now;
@@ -225,7 +225,8 @@
 
 void UpstreamRecord::MarkDraining(MonotonicTime heard, MonotonicTime now) {
   if (!is_draining_) {
-    // The last return proved wrong if draining is said again soon after it.
+    // The leaf was returned to service too early if it is reported draining
+    // again soon afterwards.
     const bool is_wrong_return = now < draining_cleared_ + draining_hold_ * 2;
     draining_hold_ = is_wrong_return ? std::min(draining_hold_ * 2,
                                                 settings_->max_draining_hold)
@@ -236,7 +237,8 @@
   UpdateState();
 }
 
-// `seen` is when the leaf was seen not to drain: for health, when it was asked.
+// `seen` is when the leaf was seen not to be draining; for health, the time of
+// the request.
 void UpstreamRecord::ClearDrainingIfHeld(MonotonicTime seen,
                                          MonotonicTime now) {
   if (!is_draining_ || is_listed_leaving_ ||
@@ -245,7 +247,7 @@
   }
   is_draining_ = false;
   draining_cleared_ = now;
-  // The next drain is told at once.
+  // The next drain is announced at once.
   has_announcement_ = false;
   last_announced_ = kNever;
 }
--- a/src/upstream/upstream_record.h
+++ b/src/upstream/upstream_record.h
@@ -1,13 +1,13 @@
-// What one daemon knows of one leaf, and the rules by which it weighs sources
-// that lag, mislead or contradict each other. Pure: time comes in with each
-// call. The order of trust is
+// What one daemon knows of one leaf, and the rules that combine sources which
+// may lag, be wrong or contradict each other. Has no clock of its own; each
+// call gets the time. The precedence of sources is
 //
-//   1. what the leaf's own replies say,
-//   2. its health, unless a reply that is not clearly older says otherwise,
-//   3. the platform's list, and news from peers.
+//   1. the leaf's own replies,
+//   2. its health, unless a reply that is not clearly older contradicts it,
+//   3. the platform's list, and reports from peers.
 //
-// News that a leaf drains is the exception: it counts from any source at once,
-// and only fresh evidence after a hold time undoes it.
+// Draining is the exception: a report from any source counts at once, and only
+// newer evidence after a hold time clears it.
 
 #ifndef MEDLARSPREAD_UPSTREAM_UPSTREAM_RECORD_H_
 #define MEDLARSPREAD_UPSTREAM_UPSTREAM_RECORD_H_
@@ -33,26 +33,26 @@
                  base::MonotonicTime now);
 
   // The list has a row for this leaf. A row with another address means that
-  // another VM took the name: everything known of the former is dropped.
+  // another VM took over the name; all state of the previous VM is dropped.
   void DidList(const store::Vm& vm, base::MonotonicTime now);
   void DidReply(const LeafReply& reply, base::MonotonicTime now);
-  // `asked` is when the health was asked for.
+  // `asked` is the time of the health request.
   void DidReadHealth(const base::Result<LeafHealth>& health,
                      base::MonotonicTime asked,
                      base::MonotonicTime now);
-  // A peer heard at `heard` that the leaf drains.
+  // A peer learned at `heard` that the leaf is draining.
   void DidHearDraining(base::MonotonicTime heard, base::MonotonicTime now);
-  // Drops old bad news of a leaf whose health this daemon doesn't read, and
-  // which could therefore never be seen to recover.
+  // Clears old draining, unreachable and cold states of a leaf whose health
+  // this daemon doesn't read, since it could never see such a leaf recover.
   void LapseUnread(base::MonotonicTime now);
 
-  // Whether health is the only source that would show a change soon: the leaf
-  // does not serve, or did not answer within the last health interval.
+  // Whether only health would show a change soon: the leaf is not serving, or
+  // has not answered within the last health interval.
   bool NeedsCloseWatch(base::MonotonicTime now) const;
-  // Whether the leaf left the list and shows no life any more.
+  // Whether the leaf is no longer listed and shows no sign of being alive.
   bool ShouldForget(base::MonotonicTime now) const;
-  // Whether this daemon has news of its own, from reply, health or list, that
-  // the leaf drains and that was not yet passed on. Resets the mark.
+  // Whether this daemon itself learned, from reply, health or list, that the
+  // leaf is draining and has not announced it yet. Resets the mark.
   bool TakeAnnouncement(base::MonotonicTime now);
 
   const blackboard::Upstream& upstream() const { return upstream_; }
@@ -78,19 +78,20 @@
   void UpdateState();
 
   const UpstreamSettings* settings_;
-  // `state` follows from the members below; see UpdateState().
+  // `state` is derived from the members below; see UpdateState().
   blackboard::Upstream upstream_;
 
   bool is_listed_leaving_ = false;
   base::MonotonicTime last_listed_ = kNever;
-  // The last reply or health that came from the leaf itself.
+  // The last reply or health read that came from the leaf itself.
   base::MonotonicTime last_alive_ = kNever;
   // The last reply that stated serving or cold.
   base::MonotonicTime last_working_reply_ = kNever;
   base::MonotonicTime last_cold_reply_ = kNever;
 
   bool is_draining_ = false;
-  // Invariant: last_draining_ is the latest time that draining was said.
+  // Invariant: last_draining_ is the latest time at which the leaf was reported
+  // to be draining.
   base::MonotonicTime last_draining_ = kNever;
   base::MonotonicTime draining_cleared_ = kNever;
   base::Duration draining_hold_;
--- a/tests/upstream/draining_bound_test.cc
+++ b/tests/upstream/draining_bound_test.cc
@@ -1,13 +1,14 @@
-// A leaf that says once that it drains receives nothing new from any daemon
-// after two seconds, although health and the list still say otherwise and all
-// but one reply are lost. The time is made up of
+// Guards against late requests to a draining leaf: after a single draining
+// reply, no daemon may send it new requests after two seconds, even if health
+// and the list still report it as serving and all other replies are lost. The
+// time consists of
 //
-//   1. the reply to the daemon that hears it                   kReplyTime
-//   2. its blackboard                        urgent_publish_interval, at most
-//   3. the way of the news to all other daemons                kSpreadTime
-//   4. their blackboards                     urgent_publish_interval, at most
+//   1. the reply to one daemon: kReplyTime,
+//   2. that daemon's blackboard write: at most urgent_publish_interval,
+//   3. notifying all other daemons through membership: SpreadTime(),
+//   4. their blackboard writes: at most urgent_publish_interval.
 //
-// so membership may take the rest of the two seconds for step 3.
+// Membership may use the rest of the two seconds for step 3.
 
 #include <memory>
 #include <vector>
@@ -84,7 +85,7 @@
                 [this](const std::string& name) { Spread(name); }});
   }
 
-  // Stands in for membership, as slow as it may be.
+  // Simulates membership with the longest permitted delay.
   void Spread(const std::string& name) {
     const base::Duration time = SpreadTime(settings_);
     runner_.After(time, [this, name, time] {
@@ -94,8 +95,8 @@
     });
   }
 
-  // Every daemon that may sends one request. Only the first one sent after the
-  // leaf began to drain gets a reply.
+  // Each daemon that considers the leaf serving sends one request. Only the
+  // first request after the leaf began to drain gets a reply.
   void SendFromAll() {
     for (const auto& daemon : daemons_) {
       const auto view = daemon->board.upstreams.Read();
@@ -147,7 +148,7 @@
   const base::MonotonicTime start = scheduler_->Now();
   Run(settings_.draining_hold - Milliseconds(1'000));
   EXPECT_LE(last_send_ - start, kBound);
-  // The others did go on until they heard: the time is spent on the news.
+  // The other daemons continued to send until they were notified.
   EXPECT_GT(last_send_ - start, SpreadTime(settings_));
 }
 
--- a/tests/upstream/forward_client_test.cc
+++ b/tests/upstream/forward_client_test.cc
@@ -1,4 +1,5 @@
-// ForwardClient against a leaf at the level of bytes.
+// Tests ForwardClient with RawLeaf, a fake leaf that replies with scripted
+// bytes.
 
 #include "src/upstream/forward_client.h"
 
@@ -66,12 +67,12 @@
     ASSERT_TRUE(is_done());
   }
 
-  // Read when the client is made.
+  // Used when the client is created.
   base::Clock clock_;
   boost::asio::io_context context_;
-  // This daemon's part of the leaf's connections.
+  // This daemon's share of the leaf's connections.
   double share_ = 2.0;
-  // What was stated to the leaf as the time left.
+  // The remaining times that were sent to the leaf.
   std::vector<base::Duration> stated_;
   std::unique_ptr<RawLeaf> raw_;
   blackboard::Upstream leaf_;
@@ -182,7 +183,8 @@
   time->Advance(Milliseconds(1'000));
   client_->CloseSpare();
   client_->CloseSpare();
-  // One is left: of two more requests at once only one opens a connection.
+  // One connection is left: of two more simultaneous requests only one opens a
+  // connection.
   first.reset();
   second.reset();
   (void)Send(first);
@@ -191,7 +193,7 @@
   EXPECT_EQ(client_->counters().connections_opened, 3);
 }
 
-// More daemons than places at the leaf: none keeps what it does not need.
+// With more daemons than connections of the leaf, no idle connection is kept.
 TEST_F(ForwardClientTest, WhereThereAreTooFewPlacesNoneIsKept) {
   const auto time = std::make_shared<base::ManualTime>(1'000'000, 0);
   clock_ = base::Clock(time);
@@ -202,7 +204,7 @@
   });
   std::optional<ForwardReply> reply;
   (void)Send(reply);
-  // One it may have all the same.
+  // One connection is always permitted.
   EXPECT_EQ(client_->port().readiness(leaf_), Readiness::kFull);
   RunUntil([&reply] { return reply.has_value(); });
   client_->CloseSpare();
--- a/tests/upstream/leaf_client_test.cc
+++ b/tests/upstream/leaf_client_test.cc
@@ -1,4 +1,4 @@
-// The client of leaves against a stand-in over loopback.
+// Tests LeafClient with a fake leaf over loopback.
 
 #include "src/upstream/leaf_client.h"
 
@@ -40,7 +40,7 @@
 
 class LeafClientTest : public testing::Test {
  protected:
-  // A stand-in leaf that runs `handler`.
+  // Starts a fake leaf that runs `handler`.
   Upstream OpenLeaf(http::Handler handler) {
     listener_ = std::make_unique<http::Listener>(
         http::ListenerSettings{.address = "127.0.0.1:0"}, std::move(handler));
@@ -107,7 +107,7 @@
   EXPECT_EQ(crossed.outcome, LeafOutcome::kMismatch);
   EXPECT_NE(crossed.error.detail.find("attempt_id"), std::string::npos);
   EXPECT_EQ(crossed.error.peer, leaf.address);
-  // The late reply frees its connection and reaches nobody.
+  // The late reply frees its connection and causes no callback.
   first.get_future().get()(MakeAnswer("a1"));
   while (client.counters().connections.in_flight > 0) {
     std::this_thread::yield();
--- a/tests/upstream/leaf_directory_test.cc
+++ b/tests/upstream/leaf_directory_test.cc
@@ -1,4 +1,4 @@
-// LeafDirectory: entries in, one view out.
+// Tests how LeafDirectory converts store entries into the published view.
 
 #include "src/upstream/leaf_directory.h"
 
@@ -23,7 +23,7 @@
     return entry;
   }
 
-  // Names and states of the leaves in use.
+  // Names and states of the published leaves.
   std::map<std::string, UpstreamState> Published() {
     directory_.Publish();
     std::map<std::string, UpstreamState> states;
@@ -47,7 +47,8 @@
   EXPECT_EQ(first->upstreams.size(), 1U);
   directory_.DidWrite(MakeEntry("i-1"));
   directory_.Publish();
-  // The same entry again makes no new view, which readers would index anew.
+  // An unchanged entry causes no new view, which readers would have to index
+  // again.
   EXPECT_EQ(blackboard_.upstreams.Read(), first);
   directory_.DidRemove("i-1");
   directory_.Publish();
@@ -64,8 +65,8 @@
   EXPECT_EQ(blackboard_.upstreams.Read()->upstreams.at("i-2").connections, 26);
 }
 
-// Everything that is learnt of a leaf goes by its name, so a new name is all it
-// takes to forget the former start.
+// All learned state is stored under the leaf's name, so a new name discards the
+// state of the previous start.
 TEST_F(LeafDirectoryTest, AnotherStartUnderTheSameIdentifierIsAnotherLeaf) {
   LeafEntry former = MakeEntry("i-1", 1'000, 9);
   former.upstream.state = UpstreamState::kDraining;
@@ -80,7 +81,7 @@
   late.upstream.state = UpstreamState::kDraining;
   directory_.DidWrite(late);
   EXPECT_EQ(Published(), (States{{"i-1@2000", UpstreamState::kServing}}));
-  // Nor does it come back once the later one is gone.
+  // It is not restored once the later one is removed either.
   directory_.DidRemove("i-1");
   directory_.DidWrite(late);
   EXPECT_EQ(Published(), States{});
@@ -94,7 +95,7 @@
   EXPECT_EQ(Published(), (States{{"i-1", UpstreamState::kDraining}}));
 }
 
-// Leaves that don't tell when they started count anew after a start.
+// Leaves that don't report a start time restart their sequence numbers.
 TEST_F(LeafDirectoryTest, ALeafThatWasGoneMayCountAnew) {
   directory_.DidWrite(MakeEntry("i-1", 0, 7));
   directory_.DidRemove("i-1");
@@ -130,7 +131,7 @@
     directory_.DidWrite(MakeEntry(id, 1'000, 1));
     directory_.DidRemove(id);
   }
-  // The first one has been forgotten, so it counts as new.
+  // The first one has been forgotten and counts as new.
   directory_.DidWrite(MakeEntry("i-0", 500, 1));
   EXPECT_EQ(Published(), (States{{"i-0@500", UpstreamState::kServing}}));
 }
--- a/tests/upstream/leaf_message_test.cc
+++ b/tests/upstream/leaf_message_test.cc
@@ -1,4 +1,4 @@
-// What replies of a leaf mean, honest ones and hostile ones.
+// Tests the decoding of valid, invalid and malicious replies of a leaf.
 
 #include "src/upstream/leaf_message.h"
 
--- a/tests/upstream/observation_filter_test.cc
+++ b/tests/upstream/observation_filter_test.cc
@@ -1,4 +1,4 @@
-// Which replies reach the control thread.
+// Tests which replies are passed to the control thread.
 
 #include "src/upstream/observation_filter.h"
 
--- a/tests/upstream/raw_leaf.h
+++ b/tests/upstream/raw_leaf.h
@@ -1,5 +1,5 @@
-// A stand-in leaf at the level of bytes: it writes what a script says for each
-// request, well-formed or not, and counts connections. Runs on one thread.
+// A fake leaf that answers each request with the bytes given by a script, valid
+// HTTP or not, and counts connections. Runs on one thread.
 
 #ifndef MEDLARSPREAD_TESTS_UPSTREAM_RAW_LEAF_H_
 #define MEDLARSPREAD_TESTS_UPSTREAM_RAW_LEAF_H_
@@ -20,16 +20,16 @@
 
 namespace medlarspread::upstream {
 
-// Each request must end with the bytes `end_of_request` and have none such
-// before. Those of LeafClient for the query "{}" end with "}}", those without a
-// body with their blank line.
+// Each request must end with the bytes `end_of_request` and not contain them
+// earlier. Requests of LeafClient with the query "{}" end with "}}", those
+// without a body with their blank line.
 class RawLeaf {
  public:
   struct Reply {
     std::string bytes;
     bool should_close = false;
   };
-  // `index` counts requests over all connections, from 1.
+  // `index` counts the requests on all connections, starting at 1.
   using Script = std::function<Reply(int index)>;
 
   explicit RawLeaf(Script script, std::string end_of_request = "}}")
@@ -53,7 +53,7 @@
   int open_connections() const { return open_; }
   int most_connections() const { return most_; }
 
-  // A whole 200 with the body.
+  // A complete 200 response with the body.
   static std::string Ok(const std::string& body) {
     return "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
            "Content-Length: " +
--- a/tests/upstream/raw_reply_test.cc
+++ b/tests/upstream/raw_reply_test.cc
@@ -1,5 +1,5 @@
-// LeafClient against replies that are wrong as bytes, and what it does with
-// its connections.
+// Tests LeafClient's handling of invalid bytes in replies, and its use of
+// connections.
 
 #include <future>
 #include <vector>
@@ -88,8 +88,9 @@
   EXPECT_EQ(reply.error.code, base::ErrorCode::kTooLarge);
 }
 
-// The leaf reads the second request and closes without a reply. The HTTP
-// library would repeat it on a new connection.
+// Guards against repeated at-most-once requests: the leaf reads the second
+// request and closes the connection without a reply, and the HTTP library would
+// repeat it on a new connection.
 TEST_F(RawReplyTest, AtMostOnceRequestIsNeverRepeated) {
   Open([](int index) {
     return index == 2 ? RawLeaf::Reply{"", true}
@@ -100,9 +101,9 @@
   EXPECT_EQ(raw_->requests(), 2);
 }
 
-// A second copy of the first answer arrives late and is read as the answer to
-// the second request: that one is dropped, and the connection too, since what
-// comes on it can't be trusted any more.
+// A late duplicate of the first answer is read as the answer to the second
+// request. That answer must be dropped, and the connection too, since its later
+// replies would be wrong.
 TEST_F(RawReplyTest, DuplicatedReplyIsDroppedWithItsConnection) {
   Open([](int index) {
     const std::string answer =
--- a/tests/upstream/upstream_controller_test.cc
+++ b/tests/upstream/upstream_controller_test.cc
@@ -1,5 +1,5 @@
-// The controller against a lagging list, lying health, leaves that drain,
-// flap, start cold or can't be reached; time is moved by hand.
+// Tests UpstreamController with a lagging list, wrong health, and leaves that
+// drain, flap, start cold or are unreachable. Uses a manual clock.
 
 #include "src/upstream/upstream_controller.h"
 
@@ -72,7 +72,7 @@
   blackboard::Blackboard board_;
   UpstreamSettings settings_;
 
-  // What the fakes answer.
+  // Replies of the fakes.
   std::vector<store::Vm> vms_ = {MakeVm(kLeaf)};
   bool is_list_up_ = true;
   LeafHealth health_;
@@ -174,7 +174,8 @@
   controller_.DidHearDraining(kLeaf, Milliseconds(700));
   Advance(settings_.urgent_publish_interval.count() / 1'000);
   EXPECT_EQ(Leaf().state, UpstreamState::kDraining);
-  // News from peers is not announced again: it would go round for ever.
+  // Reports from peers are not announced again, or they would circulate
+  // forever.
   EXPECT_TRUE(found_draining_.empty());
 }
 
@@ -192,8 +193,8 @@
   Advance(6'300);
   EXPECT_EQ(Leaf().state, UpstreamState::kDraining);
   EXPECT_EQ(found_draining_.size(), 1u);
-  // Health that says serving does not bring it back while the list says
-  // leaving.
+  // While the list says leaving, health that says serving does not bring the
+  // leaf back.
   is_list_up_ = false;
   Advance(120'000);
   EXPECT_EQ(Leaf().state, UpstreamState::kDraining);
@@ -206,19 +207,19 @@
 TEST_F(UpstreamControllerTest, DrainingOutlastsLaggingHealth) {
   Start();
   ObserveDraining();
-  // Health goes on saying that the leaf serves.
+  // Health still says that the leaf is serving.
   Advance(settings_.draining_hold.count() / 1'000 - 100);
   EXPECT_EQ(Leaf().state, UpstreamState::kDraining);
   Advance(2'000);
   EXPECT_EQ(Leaf().state, UpstreamState::kServing);
-  // News from before the return is old.
+  // A report from before the return to service is outdated.
   controller_.DidHearDraining(kLeaf, Milliseconds(8'000));
   Advance(100);
   EXPECT_EQ(Leaf().state, UpstreamState::kServing);
 }
 
-// A leaf that drains while its health lies for ever gets one request after
-// each hold, and the hold doubles: after 10, 30, 70 and 150 s.
+// A draining leaf whose health always says serving gets one request after each
+// hold. The hold doubles: after 10, 30, 70 and 150 s.
 TEST_F(UpstreamControllerTest, LyingHealthLetsFewRequestsThrough) {
   Start();
   int requests = 0;
@@ -230,7 +231,7 @@
     Advance(settings_.urgent_publish_interval.count() / 1'000);
   }
   EXPECT_EQ(requests, 5);
-  // Each drain is told to the peers at once.
+  // Each drain is announced to the peers at once.
   EXPECT_EQ(found_draining_.size(), 5u);
 }
 
@@ -245,7 +246,7 @@
   health_.state = UpstreamState::kCold;
   Advance(600);
   EXPECT_EQ(Leaf().state, UpstreamState::kServing);
-  // The longest interval of health, the hold and the publication.
+  // The longest health interval, the hold and the publication.
   Advance(4'500);
   EXPECT_EQ(Leaf().state, UpstreamState::kCold);
 }
@@ -258,8 +259,8 @@
     Advance(300);
     EXPECT_EQ(Leaf().state, UpstreamState::kServing);
   }
-  // Without replies health is all there is: the longest interval, the hold and
-  // one more interval.
+  // Without replies only health counts: the longest interval, the hold and one
+  // more interval.
   Advance(5'700);
   EXPECT_EQ(Leaf().state, UpstreamState::kDraining);
 }
@@ -287,7 +288,7 @@
   Advance(300);
   EXPECT_EQ(Leaf().state, UpstreamState::kUnreachable);
   health_error_.reset();
-  // It comes back as a cold one and is brought in slowly.
+  // It comes back as cold and gets requests gradually.
   while (Leaf().state == UpstreamState::kUnreachable) {
     Advance(50);
   }
@@ -301,13 +302,13 @@
   }
   Advance(500);
   EXPECT_EQ(Leaf().state, UpstreamState::kServing);
-  // One answer ends the row.
+  // One answer ends the series of failures.
   Observe(LeafOutcome::kAnswered, UpstreamState::kServing);
   Advance(2'000);
   Observe(LeafOutcome::kTimeout);
   Advance(500);
   EXPECT_EQ(Leaf().state, UpstreamState::kServing);
-  // Health is good all the while and brings it back later.
+  // Health is good all the time and brings the leaf back later.
   bool was_unreachable = false;
   for (int i = 0; i < 10; ++i) {
     Observe(LeafOutcome::kTimeout);
@@ -317,8 +318,8 @@
   EXPECT_TRUE(was_unreachable);
 }
 
-// Work hangs while health is good: each return without an answer makes the
-// next one wait longer.
+// Requests hang while health is good: each return without an answer increases
+// the time until the next one.
 TEST_F(UpstreamControllerTest, GoodHealthOfAHangingLeafIsBelievedLessAndLess) {
   Start();
   int returns = 0;
@@ -344,12 +345,12 @@
   controller_.Observe(kLeaf, reply);
   Advance(5'000);
   EXPECT_EQ(Leaf().holdings, std::vector<Holding>{kNew});
-  // A newer snapshot is no step backward.
+  // A newer snapshot is accepted from health.
   const Holding newest{{9, 3}, {0, 100}};
   health_.holdings = {newest};
   Advance(1'600);
   EXPECT_EQ(Leaf().holdings, std::vector<Holding>{newest});
-  // Once the hold is over health is believed again.
+  // After the hold, health is accepted again.
   health_.holdings = {kOld};
   Advance(12'000);
   EXPECT_EQ(Leaf().holdings, std::vector<Holding>{kOld});
@@ -389,7 +390,7 @@
   Advance(7'000);
   EXPECT_EQ(Leaf().address, "10.0.0.2:80");
   EXPECT_EQ(Leaf().state, UpstreamState::kServing);
-  // News of the former VM is still going round.
+  // Reports about the previous VM are still circulating.
   controller_.DidHearDraining(kLeaf, Milliseconds(7'000));
   Advance(300);
   EXPECT_EQ(Leaf().state, UpstreamState::kServing);
