--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -221,7 +221,7 @@
   }
   auto entry = platform::DecodeLeaf(id, *event.value, clock_.Now());
   if (!entry.is_ok()) {
-    leaves_.DidSpoil(id, entry.error());
+    leaves_.DidInvalidate(id, entry.error());
     return;
   }
   blackboard::Upstream& leaf = entry.value().upstream;
--- a/src/platform/configuration_decoder.cc
+++ b/src/platform/configuration_decoder.cc
@@ -229,7 +229,7 @@
   entry.sequence = *sequence;
   blackboard::Upstream& leaf = entry.upstream;
   leaf.id = id;
-  leaf.name = upstream::NameOfStart(id, *started);
+  leaf.name = upstream::MakeLeafName(id, *started);
   leaf.address = *address;
   leaf.failure_domain = *zone;
   leaf.collection = *service;
--- a/src/upstream/forward_client.cc
+++ b/src/upstream/forward_client.cc
@@ -22,7 +22,7 @@
 // Must be below the time for which a draining leaf may still receive requests.
 constexpr base::Duration kConnectTimeout = base::Milliseconds(900);
 // How long a leaf's host may leave sent bytes unacknowledged.
-constexpr base::Duration kSilence = base::Milliseconds(2'000);
+constexpr base::Duration kAckTimeout = base::Milliseconds(2'000);
 // How long to wait for the reply of a leaf after another one has answered. A
 // reply shows that the leaf is responsive again and keeps the connection
 // usable; pauses of leaves last 120 to 200 ms.
@@ -38,7 +38,7 @@
 // daemons that need one would be refused. With this rule 215 instead of 882
 // connections were reset after such a restart (8 daemons, 30 leaves with 31
 // connections each).
-constexpr base::Duration kSpareIdle = base::Milliseconds(1'000);
+constexpr base::Duration kSpareIdleTimeout = base::Milliseconds(1'000);
 // A call without a reply ends this long after the caller's deadline.
 constexpr base::Duration kDeadlineMargin = base::Milliseconds(50);
 
@@ -79,25 +79,26 @@
     bool is_finished = false;
   };
 
-  struct Kept {
+  struct PooledConnection {
     std::shared_ptr<ClientConnection> connection;
     // When it was opened or its last exchange ended.
     base::MonotonicTime last_used;
   };
 
   // The most recently used connection comes first.
-  using Connections = std::list<Kept>;
+  using Connections = std::list<PooledConnection>;
 
   // The connections to one leaf.
   struct Leaf {
     Connections connections;
     // Whether the last connection is kept open while it is idle.
-    bool keeps_one = true;
+    bool keeps_last = true;
   };
 
-  std::shared_ptr<ClientConnection> Take(const blackboard::Upstream& upstream);
+  std::shared_ptr<ClientConnection> Acquire(
+      const blackboard::Upstream& upstream);
   // Whether another connection may be opened.
-  bool HasPlace(const blackboard::Upstream& upstream) const;
+  bool CanOpen(const blackboard::Upstream& upstream) const;
   std::shared_ptr<ClientConnection> FindFree(Connections& connections);
   std::shared_ptr<ClientConnection> Open(const blackboard::Upstream& upstream);
   void DidChange(const std::string& leaf, ClientConnection& connection);
@@ -123,7 +124,7 @@
   state->upstream = upstream;
   state->sent = clock_.Now();
   state->done = std::move(done);
-  auto connection = Take(upstream);
+  auto connection = Acquire(upstream);
   if (!connection) {
     ForwardReply reply;
     reply.outcome = LeafOutcome::kUnreachable;
@@ -184,16 +185,16 @@
     return Readiness::kMustConnect;
   }
   // NOTE: FindFree() may close stale connections and thereby erase the row.
-  const bool has_place = HasPlace(upstream);
+  const bool can_open = CanOpen(upstream);
   const auto free = FindFree(row->second.connections);
   if (!free) {
-    return has_place ? Readiness::kMustConnect : Readiness::kFull;
+    return can_open ? Readiness::kMustConnect : Readiness::kFull;
   }
   return free->is_open() ? Readiness::kOpen : Readiness::kMustConnect;
 }
 
 void ForwardClient::Impl::Prepare(const blackboard::Upstream& upstream) {
-  if (const auto connection = Take(upstream)) {
+  if (const auto connection = Acquire(upstream)) {
     connection->Prepare();
   }
 }
@@ -204,9 +205,9 @@
     if (view.upstreams.contains(name)) {
       continue;
     }
-    for (const Kept& kept : leaf.connections) {
-      if (kept.connection->is_free()) {
-        unneeded.push_back(kept.connection);
+    for (const PooledConnection& pooled : leaf.connections) {
+      if (pooled.connection->is_free()) {
+        unneeded.push_back(pooled.connection);
       }
     }
   }
@@ -220,13 +221,14 @@
   const base::MonotonicTime now = clock_.Now();
   for (const auto& [name, leaf] : leaves_) {
     const Connections& connections = leaf.connections;
-    const std::size_t kept_open = leaf.keeps_one ? 1 : 0;
+    const std::size_t kept_open = leaf.keeps_last ? 1 : 0;
     std::size_t left = connections.size();
-    for (auto kept = connections.rbegin(); kept != connections.rend(); ++kept) {
-      const bool is_idle =
-          kept->connection->is_free() && now - kept->last_used >= kSpareIdle;
+    for (auto pooled = connections.rbegin(); pooled != connections.rend();
+         ++pooled) {
+      const bool is_idle = pooled->connection->is_free() &&
+                           now - pooled->last_used >= kSpareIdleTimeout;
       if (is_idle && left > kept_open) {
-        spare.push_back(kept->connection);
+        spare.push_back(pooled->connection);
         --left;
       }
     }
@@ -236,20 +238,20 @@
   }
 }
 
-std::shared_ptr<ClientConnection> ForwardClient::Impl::Take(
+std::shared_ptr<ClientConnection> ForwardClient::Impl::Acquire(
     const blackboard::Upstream& upstream) {
   const auto row = leaves_.find(upstream.name);
   if (row != leaves_.end()) {
-    row->second.keeps_one = connection_share_(upstream) >= 1.0;
+    row->second.keeps_last = connection_share_(upstream) >= 1.0;
     // NOTE: this may close stale connections and thereby erase the row.
     if (auto connection = FindFree(row->second.connections)) {
       return connection;
     }
   }
-  return HasPlace(upstream) ? Open(upstream) : nullptr;
+  return CanOpen(upstream) ? Open(upstream) : nullptr;
 }
 
-bool ForwardClient::Impl::HasPlace(const blackboard::Upstream& upstream) const {
+bool ForwardClient::Impl::CanOpen(const blackboard::Upstream& upstream) const {
   const double share = std::max(1.0, connection_share_(upstream));
   const auto row = leaves_.find(upstream.name);
   return row == leaves_.end() ||
@@ -263,8 +265,8 @@
   std::vector<std::shared_ptr<ClientConnection>> stale;
   std::shared_ptr<ClientConnection> found;
   const base::MonotonicTime now = clock_.Now();
-  for (const Kept& kept : connections) {
-    const auto& connection = kept.connection;
+  for (const PooledConnection& pooled : connections) {
+    const auto& connection = pooled.connection;
     if (!connection->is_free()) {
       continue;
     }
@@ -291,7 +293,7 @@
   ClientConnection::Settings settings;
   settings.peer = endpoint.value();
   settings.connect_timeout = kConnectTimeout;
-  settings.silence = kSilence;
+  settings.silence = kAckTimeout;
   settings.did_change = [self = weak_from_this(),
                          leaf = upstream.name](ClientConnection& connection) {
     if (auto client = self.lock()) {
@@ -301,7 +303,7 @@
   auto connection =
       std::make_shared<ClientConnection>(context_, std::move(settings));
   Leaf& leaf = leaves_[upstream.name];
-  leaf.keeps_one = connection_share_(upstream) >= 1.0;
+  leaf.keeps_last = connection_share_(upstream) >= 1.0;
   leaf.connections.push_back({connection, clock_.Now()});
   return connection;
 }
@@ -314,8 +316,9 @@
   }
   Connections& connections = row->second.connections;
   const auto self = connection.shared_from_this();
-  connections.remove_if(
-      [&self](const Kept& kept) { return kept.connection == self; });
+  connections.remove_if([&self](const PooledConnection& pooled) {
+    return pooled.connection == self;
+  });
   if (!connection.is_closed()) {
     connections.push_front({self, clock_.Now()});
   }
--- a/src/upstream/health_poller.cc
+++ b/src/upstream/health_poller.cc
@@ -11,11 +11,11 @@
 using base::MonotonicTime;
 
 Duration Jitter(base::Random& random, Duration duration) {
-  constexpr double kLeast = 0.75;
-  constexpr double kSpan = 0.5;
+  constexpr double kMinFactor = 0.75;
+  constexpr double kFactorRange = 0.5;
   return Duration(
       static_cast<std::int64_t>(static_cast<double>(duration.count()) *
-                                (kLeast + kSpan * random.Unit())));
+                                (kMinFactor + kFactorRange * random.Unit())));
 }
 
 HealthPoller::HealthPoller(const UpstreamSettings& settings,
--- a/src/upstream/leaf_client.cc
+++ b/src/upstream/leaf_client.cc
@@ -72,7 +72,7 @@
         LeafReply reply = DecodeReply(*shared_request, address, result);
         if (reply.outcome == LeafOutcome::kMismatch) {
           ++self->mismatches_;
-          self->connections_->DidCrossReplies(address, sent);
+          self->connections_->DidMismatchReply(address, sent);
         }
         callback(std::move(reply));
       };
--- a/src/upstream/leaf_connections.cc
+++ b/src/upstream/leaf_connections.cc
@@ -77,8 +77,8 @@
       traffic_.MakeSequence());
 }
 
-void LeafConnections::DidCrossReplies(const std::string& address,
-                                      base::MonotonicTime sent) {
+void LeafConnections::DidMismatchReply(const std::string& address,
+                                       base::MonotonicTime sent) {
   const auto leaf = FindOrOpen(address);
   const std::lock_guard lock(leaf->mutex);
   if (leaf->opened > sent) {
--- a/src/upstream/leaf_connections.h
+++ b/src/upstream/leaf_connections.h
@@ -68,7 +68,7 @@
   // A reply to a request sent at `sent` belonged to another request: replies on
   // one of the connections then open are out of order, and all later ones on it
   // would be wrong too. None of these connections is used again.
-  void DidCrossReplies(const std::string& address, base::MonotonicTime sent);
+  void DidMismatchReply(const std::string& address, base::MonotonicTime sent);
 
   LeafConnectionCounters counters() const;
 
--- a/src/upstream/leaf_directory.cc
+++ b/src/upstream/leaf_directory.cc
@@ -11,7 +11,7 @@
 // How many leaves that are gone are remembered, so that a late write of one is
 // recognized. A fleet of 8,700 leaves replaces some hundred in the seconds
 // within which a late write may arrive.
-constexpr std::size_t kMostGone = 4'000;
+constexpr std::size_t kMaxGoneLeaves = 4'000;
 
 const char* StateName(blackboard::UpstreamState state) {
   switch (state) {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::string NameOfStart(const std::string& id, std::int64_t started_wall_ms) {
+std::string MakeLeafName(const std::string& id, std::int64_t started_wall_ms) {
   return started_wall_ms == 0 ? id : id + "@" + std::to_string(started_wall_ms);
 }
 
@@ -38,9 +38,9 @@
 
 void LeafDirectory::DidWrite(LeafEntry entry) {
   blackboard::Upstream& upstream = entry.upstream;
-  Life& life = lives_[upstream.id];
-  if (entry.started_wall_ms == 0 && life.started_wall_ms != 0) {
-    DidSpoil(
+  EntryHistory& history = histories_[upstream.id];
+  if (entry.started_wall_ms == 0 && history.started_wall_ms != 0) {
+    DidInvalidate(
         upstream.id,
         base::MakeError(
             base::ErrorCode::kMalformed, base::Step::kWatchStore,
@@ -49,21 +49,21 @@
                 " reported its start time earlier, but not in this entry"));
     return;
   }
-  if (IsOutdated(entry, life)) {
+  if (IsOutdated(entry, history)) {
     log_.Write({.level = base::LogLevel::kInfo,
                 .step = base::Step::kWatchStore,
                 .peer = upstream.address,
                 .message = "ignored an outdated entry of leaf " + upstream.id +
                            ": start " + std::to_string(entry.started_wall_ms) +
-                           " of " + std::to_string(life.started_wall_ms) +
+                           " of " + std::to_string(history.started_wall_ms) +
                            ", number " + std::to_string(entry.sequence) +
-                           " of " + std::to_string(life.sequence)});
+                           " of " + std::to_string(history.sequence)});
     return;
   }
-  if (life.name != upstream.name) {
-    (void)EraseRow(life);
+  if (history.name != upstream.name) {
+    (void)EraseRow(history);
   }
-  life = {upstream.name, entry.started_wall_ms, entry.sequence};
+  history = {upstream.name, entry.started_wall_ms, entry.sequence};
   const auto connections = connections_.find(upstream.collection);
   if (connections != connections_.end()) {
     upstream.connections = connections->second;
@@ -79,53 +79,56 @@
   is_changed_ = true;
 }
 
-bool LeafDirectory::IsOutdated(const LeafEntry& entry, const Life& life) const {
-  if (entry.started_wall_ms != life.started_wall_ms) {
-    return entry.started_wall_ms < life.started_wall_ms;
+bool LeafDirectory::IsOutdated(const LeafEntry& entry,
+                               const EntryHistory& history) const {
+  if (entry.started_wall_ms != history.started_wall_ms) {
+    return entry.started_wall_ms < history.started_wall_ms;
   }
-  return entry.sequence < life.sequence;
+  return entry.sequence < history.sequence;
 }
 
 void LeafDirectory::DidRemove(const std::string& id) {
-  const auto life = lives_.find(id);
-  if (life == lives_.end()) {
+  const auto history = histories_.find(id);
+  if (history == histories_.end()) {
     return;
   }
-  const bool was_in_use = EraseRow(life->second);
-  if (life->second.started_wall_ms == 0) {
+  const bool was_in_use = EraseRow(history->second);
+  if (history->second.started_wall_ms == 0) {
     // NOTE: sequence numbers restart with each start, and without the start
     // time the starts can't be distinguished.
-    lives_.erase(life);
+    histories_.erase(history);
   }
   if (was_in_use) {
     log_.Write({.level = base::LogLevel::kInfo,
                 .step = base::Step::kWatchStore,
                 .message = "leaf " + id + " is gone"});
   }
-  ForgetOldLives();
+  ForgetGoneLeaves();
 }
 
-void LeafDirectory::DidSpoil(const std::string& id, const base::Error& error) {
-  const auto life = lives_.find(id);
-  const bool was_in_use = life != lives_.end() && EraseRow(life->second);
+void LeafDirectory::DidInvalidate(const std::string& id,
+                                  const base::Error& error) {
+  const auto history = histories_.find(id);
+  const bool was_in_use =
+      history != histories_.end() && EraseRow(history->second);
   log_.DidFail(error, was_in_use
                           ? "the leaf is not used until a valid entry is "
                             "written"
                           : "ignored an invalid entry");
 }
 
-bool LeafDirectory::EraseRow(Life& life) {
-  const bool was_there = view_.upstreams.erase(life.name) > 0;
-  life.name.clear();
+bool LeafDirectory::EraseRow(EntryHistory& history) {
+  const bool was_there = view_.upstreams.erase(history.name) > 0;
+  history.name.clear();
   is_changed_ = is_changed_ || was_there;
   return was_there;
 }
 
-void LeafDirectory::ForgetOldLives() {
-  if (lives_.size() <= view_.upstreams.size() + kMostGone) {
+void LeafDirectory::ForgetGoneLeaves() {
+  if (histories_.size() <= view_.upstreams.size() + kMaxGoneLeaves) {
     return;
   }
-  std::erase_if(lives_,
+  std::erase_if(histories_,
                 [](const auto& row) { return row.second.name.empty(); });
 }
 
--- a/src/upstream/leaf_directory.h
+++ b/src/upstream/leaf_directory.h
@@ -29,7 +29,7 @@
 };
 
 // The name that identifies one start of the leaf.
-std::string NameOfStart(const std::string& id, std::int64_t started_wall_ms);
+std::string MakeLeafName(const std::string& id, std::int64_t started_wall_ms);
 
 // Runs on the control thread. It is the only writer of Blackboard::upstreams.
 class LeafDirectory {
@@ -42,7 +42,7 @@
   void DidRemove(const std::string& id);
   // The entry was overwritten with an invalid one: the leaf that it described
   // before gets no new requests.
-  void DidSpoil(const std::string& id, const base::Error& error);
+  void DidInvalidate(const std::string& id, const base::Error& error);
   // Sets how many connections the leaves of each collection accept.
   void SetConnections(const std::map<std::string, int>& connections);
   // Writes the view to the blackboard if it changed since the last call.
@@ -50,24 +50,24 @@
 
  private:
   // What is known of the entries of one identifier.
-  struct Life {
+  struct EntryHistory {
     // Name of the row in the view; empty if there is none.
     std::string name;
     std::int64_t started_wall_ms = 0;
     std::int64_t sequence = 0;
   };
 
-  bool IsOutdated(const LeafEntry& entry, const Life& life) const;
+  bool IsOutdated(const LeafEntry& entry, const EntryHistory& history) const;
   // Returns whether there was a row.
-  bool EraseRow(Life& life);
-  void ForgetOldLives();
+  bool EraseRow(EntryHistory& history);
+  void ForgetGoneLeaves();
   void LogState(const blackboard::Upstream& upstream) const;
 
   blackboard::Blackboard& blackboard_;
   const base::Log log_;
   std::map<std::string, int> connections_;
   // By identifier. Includes a limited number of leaves that are gone.
-  std::map<std::string, Life> lives_;
+  std::map<std::string, EntryHistory> histories_;
   blackboard::UpstreamsView view_;
   bool is_changed_ = false;
 };
--- a/src/upstream/leaf_message.cc
+++ b/src/upstream/leaf_message.cc
@@ -114,7 +114,7 @@
 
 // The name of the first field of `body` that does not match `request`, or null
 // if all match.
-const char* FindDifference(const LeafRequest& request, const value& body) {
+const char* FindMismatch(const LeafRequest& request, const value& body) {
   if (ReadString(body, "attempt_id") != request.attempt_id) {
     return "attempt_id";
   }
@@ -151,7 +151,7 @@
 LeafReply DecodeAnswer(const LeafRequest& request,
                        const std::string& peer,
                        const value& body) {
-  if (const char* field = FindDifference(request, body)) {
+  if (const char* field = FindMismatch(request, body)) {
     return FailMismatch(peer,
                         std::string("the answer has a different ") + field);
   }
--- a/src/upstream/observation_filter.cc
+++ b/src/upstream/observation_filter.cc
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-bool ObservationFilter::IsNews(const blackboard::Upstream& known,
-                               const LeafReply& reply,
-                               base::MonotonicTime now) {
+bool ObservationFilter::ShouldPassOn(const blackboard::Upstream& known,
+                                     const LeafReply& reply,
+                                     base::MonotonicTime now) {
   const bool is_failure = IsFailure(reply.outcome);
   const bool is_draining = reply.state == UpstreamState::kDraining &&
                            known.state != UpstreamState::kDraining;
@@ -56,14 +56,14 @@
   }
   const bool is_due = is_new || now >= row.last_passed + interval_;
   const bool is_change = is_failure || is_contradiction || row.has_failed;
-  const bool is_news = is_due || is_draining ||
-                       (is_change && row.passed < kMaxPassedPerInterval);
-  if (is_news) {
+  const bool should_pass_on = is_due || is_draining ||
+                              (is_change && row.passed < kMaxPassedPerInterval);
+  if (should_pass_on) {
     ++row.passed;
     row.last_passed = now;
     row.has_failed = is_failure;
   }
-  return is_news;
+  return should_pass_on;
 }
 
 void ObservationFilter::Forget(const std::string& name) {
--- a/src/upstream/observation_filter.h
+++ b/src/upstream/observation_filter.h
@@ -25,9 +25,9 @@
   // failures, or none was passed on for the interval. Failures and
   // contradictions of one leaf are limited to a few per interval, but the first
   // reply that states draining is always passed on.
-  bool IsNews(const blackboard::Upstream& known,
-              const LeafReply& reply,
-              base::MonotonicTime now);
+  bool ShouldPassOn(const blackboard::Upstream& known,
+                    const LeafReply& reply,
+                    base::MonotonicTime now);
   void Forget(const std::string& name);
 
  private:
--- a/src/upstream/upstream_controller.cc
+++ b/src/upstream/upstream_controller.cc
@@ -209,7 +209,7 @@
     return row == records_.end() ? nullptr : &row->second.upstream();
   };
   callbacks.interval = [this](const std::string& name) {
-    return records_.at(name).NeedsCloseWatch(clock_.Now())
+    return records_.at(name).NeedsFrequentHealthReads(clock_.Now())
                ? settings_.health_interval
                : settings_.relaxed_health_interval;
   };
@@ -221,7 +221,7 @@
   };
   callbacks.did_skip = [this](const std::string& name) {
     Change(name, [this](UpstreamRecord& record) {
-      record.LapseUnread(clock_.Now());
+      record.ExpireUnreadStates(clock_.Now());
     });
   };
   return callbacks;
@@ -234,19 +234,19 @@
   const auto view = blackboard_.upstreams.Read();
   const auto known = view->upstreams.find(name);
   if (known == view->upstreams.end() ||
-      !filter_.IsNews(known->second, reply, clock_.Now())) {
+      !filter_.ShouldPassOn(known->second, reply, clock_.Now())) {
     return;
   }
   ++observations_;
   // The items are not needed here and may be large.
-  LeafReply news;
-  news.outcome = reply.outcome;
-  news.state = reply.state;
-  news.holdings = reply.holdings;
-  news.error = reply.error;
-  Post([name, news = std::move(news)](Impl& impl) {
+  LeafReply observation;
+  observation.outcome = reply.outcome;
+  observation.state = reply.state;
+  observation.holdings = reply.holdings;
+  observation.error = reply.error;
+  Post([name, observation = std::move(observation)](Impl& impl) {
     impl.Change(name, [&](UpstreamRecord& record) {
-      record.DidReply(news, impl.clock_.Now());
+      record.DidReply(observation, impl.clock_.Now());
     });
   });
 }
--- a/src/upstream/upstream_record.cc
+++ b/src/upstream/upstream_record.cc
@@ -61,7 +61,7 @@
   }
   if (!reply.state && (reply.outcome == LeafOutcome::kTimeout ||
                        reply.outcome == LeafOutcome::kMismatch)) {
-    DidFailSilently(now);
+    DidFailWithoutReply(now);
     return;
   }
   const bool is_from_leaf = reply.outcome == LeafOutcome::kAnswered ||
@@ -72,7 +72,7 @@
   }
   last_alive_ = now;
   connection_failures_ = 0;
-  silent_failures_ = 0;
+  no_reply_failures_ = 0;
   health_failures_ = 0;
   is_unreachable_ = false;
   unreachable_hold_ = settings_->unreachable_hold;
@@ -95,12 +95,12 @@
     case UpstreamState::kCold:
       last_cold_reply_ = now;
       last_working_reply_ = now;
-      ClearDrainingIfHeld(now, now);
+      ClearDrainingAfterHold(now, now);
       MarkCold(now);
       return;
     case UpstreamState::kServing:
       last_working_reply_ = now;
-      ClearDrainingIfHeld(now, now);
+      ClearDrainingAfterHold(now, now);
       is_cold_ = false;
       return;
     case UpstreamState::kUnreachable:
@@ -118,7 +118,7 @@
         health.value().collection.value_or(upstream_.collection) !=
             upstream_.collection;
     if (!is_other) {
-      TakeHealth(health.value(), asked, now);
+      ApplyHealth(health.value(), asked, now);
       return;
     }
   } else if (health.error().code == ErrorCode::kMalformed ||
@@ -134,14 +134,14 @@
   }
 }
 
-void UpstreamRecord::TakeHealth(const LeafHealth& health,
-                                MonotonicTime asked,
-                                MonotonicTime now) {
+void UpstreamRecord::ApplyHealth(const LeafHealth& health,
+                                 MonotonicTime asked,
+                                 MonotonicTime now) {
   last_alive_ = now;
   health_failures_ = 0;
   upstream_.slots = health.slots;
   upstream_.connections = health.connections;
-  TakeHealthHoldings(health, now);
+  ApplyHealthHoldings(health, now);
   if (is_unreachable_) {
     if (asked < unreachable_since_ + unreachable_hold_) {
       return;
@@ -150,16 +150,16 @@
     // back as cold and regains its share only with replies.
     is_unreachable_ = false;
     connection_failures_ = 0;
-    silent_failures_ = 0;
+    no_reply_failures_ = 0;
     MarkCold(now);
   }
-  TakeHealthState(health.state, asked, now);
+  ApplyHealthState(health.state, asked, now);
   UpdateState();
 }
 
-void UpstreamRecord::TakeHealthState(UpstreamState state,
-                                     MonotonicTime asked,
-                                     MonotonicTime now) {
+void UpstreamRecord::ApplyHealthState(UpstreamState state,
+                                      MonotonicTime asked,
+                                      MonotonicTime now) {
   const bool is_older_than_reply =
       asked < last_working_reply_ + settings_->reply_hold;
   switch (state) {
@@ -170,13 +170,13 @@
       }
       return;
     case UpstreamState::kCold:
-      ClearDrainingIfHeld(asked, now);
+      ClearDrainingAfterHold(asked, now);
       if (!is_older_than_reply) {
         MarkCold(now);
       }
       return;
     case UpstreamState::kServing:
-      ClearDrainingIfHeld(asked, now);
+      ClearDrainingAfterHold(asked, now);
       if (asked >= last_cold_reply_ + settings_->reply_hold &&
           asked >= upstream_.cold_since + settings_->cold_hold) {
         is_cold_ = false;
@@ -187,8 +187,8 @@
   }
 }
 
-void UpstreamRecord::TakeHealthHoldings(const LeafHealth& health,
-                                        MonotonicTime now) {
+void UpstreamRecord::ApplyHealthHoldings(const LeafHealth& health,
+                                         MonotonicTime now) {
   const bool is_held = now < holdings_replied_ + settings_->holdings_hold;
   if (is_held && NewestOf(health.holdings) <= NewestOf(upstream_.holdings)) {
     return;
@@ -212,13 +212,13 @@
 
 // A lost VM or link causes timeouts instead of refused connections. So do short
 // deadlines, which is why more failures and a minimum time are required.
-void UpstreamRecord::DidFailSilently(MonotonicTime now) {
-  if (silent_failures_ == 0) {
-    first_silent_failure_ = now;
+void UpstreamRecord::DidFailWithoutReply(MonotonicTime now) {
+  if (no_reply_failures_ == 0) {
+    first_no_reply_failure_ = now;
   }
-  ++silent_failures_;
-  if (silent_failures_ >= settings_->max_silent_failures &&
-      now - first_silent_failure_ >= settings_->silent_time) {
+  ++no_reply_failures_;
+  if (no_reply_failures_ >= settings_->max_no_reply_failures &&
+      now - first_no_reply_failure_ >= settings_->min_no_reply_time) {
     MarkUnreachable(now);
   }
 }
@@ -227,10 +227,10 @@
   if (!is_draining_) {
     // The leaf was returned to service too early if it is reported draining
     // again soon afterwards.
-    const bool is_wrong_return = now < draining_cleared_ + draining_hold_ * 2;
-    draining_hold_ = is_wrong_return ? std::min(draining_hold_ * 2,
-                                                settings_->max_draining_hold)
-                                     : settings_->draining_hold;
+    const bool is_relapse = now < draining_cleared_ + draining_hold_ * 2;
+    draining_hold_ =
+        is_relapse ? std::min(draining_hold_ * 2, settings_->max_draining_hold)
+                   : settings_->draining_hold;
   }
   is_draining_ = true;
   last_draining_ = std::max(last_draining_, heard);
@@ -239,8 +239,8 @@
 
 // `seen` is when the leaf was seen not to be draining; for health, the time of
 // the request.
-void UpstreamRecord::ClearDrainingIfHeld(MonotonicTime seen,
-                                         MonotonicTime now) {
+void UpstreamRecord::ClearDrainingAfterHold(MonotonicTime seen,
+                                            MonotonicTime now) {
   if (!is_draining_ || is_listed_leaving_ ||
       seen < last_draining_ + draining_hold_) {
     return;
@@ -256,12 +256,11 @@
   if (is_unreachable_) {
     return;
   }
-  const bool is_wrong_return =
+  const bool is_relapse =
       unreachable_since_ > last_working_reply_ && unreachable_since_ != kNever;
-  unreachable_hold_ =
-      is_wrong_return
-          ? std::min(unreachable_hold_ * 2, settings_->max_unreachable_hold)
-          : settings_->unreachable_hold;
+  unreachable_hold_ = is_relapse ? std::min(unreachable_hold_ * 2,
+                                            settings_->max_unreachable_hold)
+                                 : settings_->unreachable_hold;
   is_unreachable_ = true;
   unreachable_since_ = now;
   UpdateState();
@@ -274,25 +273,27 @@
   }
 }
 
-void UpstreamRecord::LapseUnread(MonotonicTime now) {
-  const bool is_old = now >= last_draining_ + settings_->lapse_time;
+void UpstreamRecord::ExpireUnreadStates(MonotonicTime now) {
+  const bool is_old = now >= last_draining_ + settings_->unread_state_lifetime;
   if (is_draining_ && !is_listed_leaving_ && is_old) {
     is_draining_ = false;
     draining_cleared_ = now;
   }
-  if (is_unreachable_ && now >= unreachable_since_ + settings_->lapse_time) {
+  if (is_unreachable_ &&
+      now >= unreachable_since_ + settings_->unread_state_lifetime) {
     is_unreachable_ = false;
     connection_failures_ = 0;
-    silent_failures_ = 0;
+    no_reply_failures_ = 0;
     health_failures_ = 0;
   }
-  if (is_cold_ && now >= upstream_.cold_since + settings_->lapse_time) {
+  if (is_cold_ &&
+      now >= upstream_.cold_since + settings_->unread_state_lifetime) {
     is_cold_ = false;
   }
   UpdateState();
 }
 
-bool UpstreamRecord::NeedsCloseWatch(MonotonicTime now) const {
+bool UpstreamRecord::NeedsFrequentHealthReads(MonotonicTime now) const {
   return upstream_.state != UpstreamState::kServing ||
          now >= last_working_reply_ + settings_->health_interval;
 }
--- a/src/upstream/upstream_record.h
+++ b/src/upstream/upstream_record.h
@@ -44,11 +44,11 @@
   void DidHearDraining(base::MonotonicTime heard, base::MonotonicTime now);
   // Clears old draining, unreachable and cold states of a leaf whose health
   // this daemon doesn't read, since it could never see such a leaf recover.
-  void LapseUnread(base::MonotonicTime now);
+  void ExpireUnreadStates(base::MonotonicTime now);
 
   // Whether only health would show a change soon: the leaf is not serving, or
   // has not answered within the last health interval.
-  bool NeedsCloseWatch(base::MonotonicTime now) const;
+  bool NeedsFrequentHealthReads(base::MonotonicTime now) const;
   // Whether the leaf is no longer listed and shows no sign of being alive.
   bool ShouldForget(base::MonotonicTime now) const;
   // Whether this daemon itself learned, from reply, health or list, that the
@@ -62,19 +62,20 @@
       std::numeric_limits<std::int64_t>::min() / 2};
 
   void DidFailToConnect(base::MonotonicTime now);
-  void DidFailSilently(base::MonotonicTime now);
+  void DidFailWithoutReply(base::MonotonicTime now);
   void DidSeeState(blackboard::UpstreamState state, base::MonotonicTime now);
-  void TakeHealth(const LeafHealth& health,
-                  base::MonotonicTime asked,
-                  base::MonotonicTime now);
-  void TakeHealthState(blackboard::UpstreamState state,
-                       base::MonotonicTime asked,
-                       base::MonotonicTime now);
-  void TakeHealthHoldings(const LeafHealth& health, base::MonotonicTime now);
+  void ApplyHealth(const LeafHealth& health,
+                   base::MonotonicTime asked,
+                   base::MonotonicTime now);
+  void ApplyHealthState(blackboard::UpstreamState state,
+                        base::MonotonicTime asked,
+                        base::MonotonicTime now);
+  void ApplyHealthHoldings(const LeafHealth& health, base::MonotonicTime now);
   void MarkDraining(base::MonotonicTime heard, base::MonotonicTime now);
   void MarkUnreachable(base::MonotonicTime now);
   void MarkCold(base::MonotonicTime now);
-  void ClearDrainingIfHeld(base::MonotonicTime seen, base::MonotonicTime now);
+  void ClearDrainingAfterHold(base::MonotonicTime seen,
+                              base::MonotonicTime now);
   void UpdateState();
 
   const UpstreamSettings* settings_;
@@ -102,8 +103,8 @@
   base::MonotonicTime unreachable_since_ = kNever;
   base::Duration unreachable_hold_;
   int connection_failures_ = 0;
-  int silent_failures_ = 0;
-  base::MonotonicTime first_silent_failure_ = kNever;
+  int no_reply_failures_ = 0;
+  base::MonotonicTime first_no_reply_failure_ = kNever;
   int health_failures_ = 0;
 
   bool is_cold_ = false;
--- a/src/upstream/upstream_settings.h
+++ b/src/upstream/upstream_settings.h
@@ -45,9 +45,9 @@
   base::Duration max_draining_hold = base::Milliseconds(160'000);
   // If this daemon doesn't read the leaf's health itself, the draining,
   // unreachable and cold states are cleared after this time.
-  base::Duration lapse_time = base::Milliseconds(60'000);
+  base::Duration unread_state_lifetime = base::Milliseconds(60'000);
   // How often peers are notified again while a leaf keeps draining. Must be
-  // less than lapse_time.
+  // less than unread_state_lifetime.
   base::Duration announce_interval = base::Milliseconds(30'000);
 
   // Number of successive refused or lost connections after which a leaf is
@@ -55,8 +55,8 @@
   int max_connection_failures = 3;
   // A leaf is unreachable after this many successive requests without a usable
   // reply, if they span at least the given time.
-  int max_silent_failures = 5;
-  base::Duration silent_time = base::Milliseconds(2'000);
+  int max_no_reply_failures = 5;
+  base::Duration min_no_reply_time = base::Milliseconds(2'000);
   // Health must be good this long after a leaf was found unreachable before it
   // is used again. Doubles, up to the maximum, if the leaf fails again before
   // it has answered a request.
--- a/tests/upstream/forward_client_test.cc
+++ b/tests/upstream/forward_client_test.cc
@@ -16,7 +16,7 @@
 
 using base::Milliseconds;
 
-constexpr auto kLongest = std::chrono::seconds(20);
+constexpr auto kMaxWait = std::chrono::seconds(20);
 
 class ForwardClientTest : public testing::Test {
  protected:
@@ -29,7 +29,7 @@
       return *call.message;
     };
     codec.set_time_left = [this](http1::Request&, base::Duration left) {
-      stated_.push_back(left);
+      sent_time_left_.push_back(left);
     };
     codec.is_mine = [](const ForwardCall&, const http1::Response&) {
       return true;
@@ -59,7 +59,7 @@
   }
 
   void RunUntil(const std::function<bool()>& is_done) {
-    const auto end = std::chrono::steady_clock::now() + kLongest;
+    const auto end = std::chrono::steady_clock::now() + kMaxWait;
     while (!is_done() && std::chrono::steady_clock::now() < end) {
       context_.run_one_for(std::chrono::milliseconds(10));
       context_.restart();
@@ -73,7 +73,7 @@
   // This daemon's share of the leaf's connections.
   double share_ = 2.0;
   // The remaining times that were sent to the leaf.
-  std::vector<base::Duration> stated_;
+  std::vector<base::Duration> sent_time_left_;
   std::unique_ptr<RawLeaf> raw_;
   blackboard::Upstream leaf_;
   std::unique_ptr<ForwardClient> client_;
@@ -99,10 +99,10 @@
   std::optional<ForwardReply> reply;
   (void)Send(reply, Milliseconds(20'000));
   // The connection is not open yet.
-  EXPECT_TRUE(stated_.empty());
+  EXPECT_TRUE(sent_time_left_.empty());
   std::this_thread::sleep_for(std::chrono::milliseconds(30));
-  RunUntil([this] { return !stated_.empty(); });
-  EXPECT_LE(stated_.front(), Milliseconds(20'000 - 30));
+  RunUntil([this] { return !sent_time_left_.empty(); });
+  EXPECT_LE(sent_time_left_.front(), Milliseconds(20'000 - 30));
 }
 
 TEST_F(ForwardClientTest, CancelClosesTheConnectionAndCallsNobody) {
@@ -166,7 +166,7 @@
   RunUntil([this] { return raw_->open_connections() == 0; });
 }
 
-TEST_F(ForwardClientTest, ClosesWhatTheLastMomentsDidNotNeed) {
+TEST_F(ForwardClientTest, ClosesIdleSpareConnections) {
   const auto time = std::make_shared<base::ManualTime>(1'000'000, 0);
   clock_ = base::Clock(time);
   Open([](int) {
@@ -194,7 +194,7 @@
 }
 
 // With more daemons than connections of the leaf, no idle connection is kept.
-TEST_F(ForwardClientTest, WhereThereAreTooFewPlacesNoneIsKept) {
+TEST_F(ForwardClientTest, KeepsNoIdleConnectionWithAShareBelowOne) {
   const auto time = std::make_shared<base::ManualTime>(1'000'000, 0);
   clock_ = base::Clock(time);
   share_ = 0.6;
--- a/tests/upstream/leaf_directory_test.cc
+++ b/tests/upstream/leaf_directory_test.cc
@@ -16,7 +16,7 @@
                              std::int64_t sequence = 0) {
     LeafEntry entry;
     entry.upstream.id = id;
-    entry.upstream.name = NameOfStart(id, started);
+    entry.upstream.name = MakeLeafName(id, started);
     entry.upstream.collection = "x";
     entry.started_wall_ms = started;
     entry.sequence = sequence;
@@ -103,20 +103,20 @@
   EXPECT_EQ(Published(), (States{{"i-1", UpstreamState::kServing}}));
 }
 
-TEST_F(LeafDirectoryTest, ASpoiltEntryTakesItsLeafOutOfUse) {
+TEST_F(LeafDirectoryTest, AnInvalidEntryTakesItsLeafOutOfUse) {
   const base::Error error = base::MakeError(
       base::ErrorCode::kMalformed, base::Step::kWatchStore, "", "from a test");
   directory_.DidWrite(MakeEntry("i-1", 0, 3));
   directory_.DidWrite(MakeEntry("i-2", 0, 3));
-  directory_.DidSpoil("i-1", error);
-  directory_.DidSpoil("i-3", error);
+  directory_.DidInvalidate("i-1", error);
+  directory_.DidInvalidate("i-3", error);
   EXPECT_EQ(Published(), (States{{"i-2", UpstreamState::kServing}}));
   directory_.DidWrite(MakeEntry("i-1", 0, 4));
   EXPECT_EQ(Published(), (States{{"i-1", UpstreamState::kServing},
                                  {"i-2", UpstreamState::kServing}}));
 }
 
-TEST_F(LeafDirectoryTest, AnEntryWithoutTheStartThatTheLeafToldIsSpoilt) {
+TEST_F(LeafDirectoryTest, AnEntryWithoutThePreviouslyReportedStartIsInvalid) {
   directory_.DidWrite(MakeEntry("i-1", 2'000, 3));
   directory_.DidWrite(MakeEntry("i-1", 0, 4));
   EXPECT_EQ(Published(), States{});
--- a/tests/upstream/observation_filter_test.cc
+++ b/tests/upstream/observation_filter_test.cc
@@ -14,13 +14,13 @@
 
 class ObservationFilterTest : public testing::Test {
  protected:
-  bool IsNews(LeafOutcome outcome,
-              std::optional<UpstreamState> state,
-              base::MonotonicTime now) {
+  bool ShouldPassOn(LeafOutcome outcome,
+                    std::optional<UpstreamState> state,
+                    base::MonotonicTime now) {
     LeafReply reply;
     reply.outcome = outcome;
     reply.state = state;
-    return filter_.IsNews(known_, reply, now);
+    return filter_.ShouldPassOn(known_, reply, now);
   }
 
   blackboard::Upstream known_;
@@ -28,23 +28,24 @@
 };
 
 TEST_F(ObservationFilterTest, PassesOneSuccessPerInterval) {
-  const auto is_news = [this](base::Duration age) {
-    return IsNews(LeafOutcome::kAnswered, UpstreamState::kServing,
-                  kStart + age);
+  const auto should_pass_on = [this](base::Duration age) {
+    return ShouldPassOn(LeafOutcome::kAnswered, UpstreamState::kServing,
+                        kStart + age);
   };
-  EXPECT_TRUE(is_news(base::Milliseconds(0)));
-  EXPECT_FALSE(is_news(base::Milliseconds(499)));
-  EXPECT_TRUE(is_news(base::Milliseconds(500)));
-  EXPECT_FALSE(is_news(base::Milliseconds(501)));
+  EXPECT_TRUE(should_pass_on(base::Milliseconds(0)));
+  EXPECT_FALSE(should_pass_on(base::Milliseconds(499)));
+  EXPECT_TRUE(should_pass_on(base::Milliseconds(500)));
+  EXPECT_FALSE(should_pass_on(base::Milliseconds(501)));
 }
 
 TEST_F(ObservationFilterTest, PassesTheSuccessThatEndsARowOfFailures) {
   const auto answer = [this] {
-    return IsNews(LeafOutcome::kAnswered, UpstreamState::kServing, kStart);
+    return ShouldPassOn(LeafOutcome::kAnswered, UpstreamState::kServing,
+                        kStart);
   };
   EXPECT_TRUE(answer());
   EXPECT_FALSE(answer());
-  EXPECT_TRUE(IsNews(LeafOutcome::kTimeout, std::nullopt, kStart));
+  EXPECT_TRUE(ShouldPassOn(LeafOutcome::kTimeout, std::nullopt, kStart));
   EXPECT_TRUE(answer());
   EXPECT_FALSE(answer());
 }
@@ -52,12 +53,14 @@
 TEST_F(ObservationFilterTest, BoundsFailuresButNeverHoldsBackDraining) {
   int passed = 0;
   for (int i = 0; i < 1'000; ++i) {
-    passed += IsNews(LeafOutcome::kTimeout, std::nullopt, kStart) ? 1 : 0;
+    passed += ShouldPassOn(LeafOutcome::kTimeout, std::nullopt, kStart) ? 1 : 0;
   }
   EXPECT_GE(passed, 5);
   EXPECT_LE(passed, 16);
-  EXPECT_TRUE(IsNews(LeafOutcome::kDraining, UpstreamState::kDraining, kStart));
-  EXPECT_TRUE(IsNews(LeafOutcome::kTimeout, std::nullopt, kStart + kInterval));
+  EXPECT_TRUE(
+      ShouldPassOn(LeafOutcome::kDraining, UpstreamState::kDraining, kStart));
+  EXPECT_TRUE(
+      ShouldPassOn(LeafOutcome::kTimeout, std::nullopt, kStart + kInterval));
 }
 
 }  // namespace
--- a/tests/upstream/upstream_controller_test.cc
+++ b/tests/upstream/upstream_controller_test.cc
@@ -149,7 +149,8 @@
   EXPECT_LE(reads_in(true), 22);
 }
 
-TEST_F(UpstreamControllerTest, UnchangedNewsIsNeitherPostedNorPublished) {
+TEST_F(UpstreamControllerTest,
+       UnchangedObservationsAreNeitherPostedNorPublished) {
   Start();
   Advance(10'000);
   const auto before = controller_.counters();
@@ -161,7 +162,7 @@
   EXPECT_EQ(controller_.counters().publications, before.publications);
 }
 
-TEST_F(UpstreamControllerTest, DrainingReplyStopsWorkAtOnceAndIsTold) {
+TEST_F(UpstreamControllerTest, DrainingReplyStopsRequestsAtOnceAndIsAnnounced) {
   Start();
   ObserveDraining();
   Advance(settings_.urgent_publish_interval.count() / 1'000);
@@ -220,7 +221,7 @@
 
 // A draining leaf whose health always says serving gets one request after each
 // hold. The hold doubles: after 10, 30, 70 and 150 s.
-TEST_F(UpstreamControllerTest, LyingHealthLetsFewRequestsThrough) {
+TEST_F(UpstreamControllerTest, WrongHealthLetsFewRequestsThrough) {
   Start();
   int requests = 0;
   for (int step = 0; step < 300 * 10; ++step) {
@@ -320,7 +321,8 @@
 
 // Requests hang while health is good: each return without an answer increases
 // the time until the next one.
-TEST_F(UpstreamControllerTest, GoodHealthOfAHangingLeafIsBelievedLessAndLess) {
+TEST_F(UpstreamControllerTest,
+       AHangingLeafWithGoodHealthReturnsLessAndLessOften) {
   Start();
   int returns = 0;
   bool was_unreachable = false;
@@ -365,7 +367,7 @@
   EXPECT_FALSE(IsKnown());
 }
 
-TEST_F(UpstreamControllerTest, VanishedLeafWithoutLifeIsForgotten) {
+TEST_F(UpstreamControllerTest, VanishedLeafWithoutActivityIsForgotten) {
   Start();
   vms_ = {MakeVm("other")};
   health_error_ = ErrorCode::kTimeout;
@@ -405,7 +407,7 @@
   EXPECT_EQ(Leaf().state, UpstreamState::kUnreachable);
 }
 
-TEST_F(UpstreamControllerTest, BadNewsOfAnUnreadLeafLapses) {
+TEST_F(UpstreamControllerTest, BadStateOfAnUnreadLeafExpires) {
   Start();
   should_poll_ = false;
   Advance(2'000);
