--- a/src/platform/caller_codec.cc
+++ b/src/platform/caller_codec.cc
@@ -1,4 +1,4 @@
-// Requests in, answers out.
+// Decoding of callers' requests and encoding of their answers.
 
 #include "src/platform/caller_codec.h"
 
@@ -51,8 +51,8 @@
   Response response = std::move(passed.message);
   http1::RemoveConnectionFields(response);
   response.version(kHttpVersion);
-  // NOTE: the length stays as the leaf gave it, which matters for HEAD, where
-  // it comes without a body.
+  // NOTE: the leaf's Content-Length is kept. This matters for HEAD, where the
+  // response has a length and no body.
   if (response.find(http::field::content_length) == response.end()) {
     response.content_length(response.body().size());
   }
@@ -97,7 +97,7 @@
   if (incoming.request_id.empty() || incoming.host.empty()) {
     return base::MakeError(base::ErrorCode::kInvalidArgument,
                            base::Step::kParse, "",
-                           "no request identifier or host");
+                           "the request identifier or host is missing");
   }
   incoming.deadline = DecodeDeadline(request);
   http1::RemoveConnectionFields(request);
--- a/src/platform/caller_codec.h
+++ b/src/platform/caller_codec.h
@@ -1,4 +1,4 @@
-// Translates between callers' HTTP messages and the query core.
+// Translates between callers' HTTP messages and the types of the query module.
 
 #ifndef MEDLARSPREAD_PLATFORM_CALLER_CODEC_H_
 #define MEDLARSPREAD_PLATFORM_CALLER_CODEC_H_
@@ -10,13 +10,13 @@
 
 namespace medlarspread::platform {
 
-// kInvalidArgument if the request lacks its identifier or host.
+// Fails with kInvalidArgument if the request has no identifier or host.
 base::Result<query::IncomingRequest> DecodeRequest(http1::Request request);
 
-// The answer to a request of the given version and method.
+// The HTTP response for an answer.
 http1::Response EncodeAnswer(query::ForwardedAnswer answer);
 
-// The answer to a request that could not be decoded.
+// The HTTP response to a request that could not be decoded.
 http1::Response EncodeInvalid(const base::Error& error);
 
 }  // namespace medlarspread::platform
--- a/src/platform/configuration_decoder.cc
+++ b/src/platform/configuration_decoder.cc
@@ -1,4 +1,4 @@
-// JSON to the blackboard's types.
+// Conversion of JSON to the blackboard's types.
 
 #include "src/platform/configuration_decoder.h"
 
@@ -25,12 +25,12 @@
 using store::ReadString;
 using web::json::value;
 
-// A leaf that is cold for less time than this is at its speed before a request
-// could tell the difference.
+// A leaf that stays cold for less time than this reaches full speed before a
+// request could notice the difference.
 constexpr double kNegligibleColdMs = 300.0;
-// No leaf works on so many requests at once; a larger number is not a leaf's.
+// No leaf processes more requests at once; larger numbers are invalid.
 constexpr std::int64_t kMostSlots = 1'000'000;
-// Longer times than a year are no timeouts; they would not fit the clock.
+// One year. Longer times are invalid as timeouts and would overflow the clock.
 constexpr double kLongestMs = 365.0 * 24 * 3600 * 1000;
 constexpr std::int64_t kMostRecords = 1'000'000'000;
 constexpr std::int64_t kLeastUrgent = 1'000'000;
@@ -146,7 +146,8 @@
   return std::nullopt;
 }
 
-// Zero if the leaf does not tell; absent if what it tells is no time.
+// Zero if the leaf does not report its start; absent if the reported value is
+// invalid.
 std::optional<std::int64_t> DecodeStart(const value& object) {
   if (!store::HasField(object, "born")) {
     return 0;
@@ -160,7 +161,7 @@
 base::Result<RoutesView> DecodeConfiguration(const std::string& text) {
   const auto object = store::ParseObject(text);
   if (!object) {
-    return Malformed("the configuration is no JSON object");
+    return Malformed("the configuration is not a JSON object");
   }
   const auto version = ReadInteger(*object, "version");
   const value* routes = FindArray(*object, "routes");
@@ -173,7 +174,7 @@
     auto route = DecodeRoute(row);
     if (!route) {
       return Malformed("a route of revision " + std::to_string(*version) +
-                       " lacks a field or has an odd one");
+                       " has a missing or invalid field");
     }
     view.routes.push_back(std::move(route));
   }
@@ -198,7 +199,7 @@
                                              base::MonotonicTime now) {
   const auto object = store::ParseObject(text);
   if (!object) {
-    return Malformed("the entry of leaf " + id + " is no JSON object");
+    return Malformed("the entry of leaf " + id + " is not a JSON object");
   }
   const auto service = ReadString(*object, "service");
   const auto address = ReadString(*object, "addr");
@@ -208,10 +209,11 @@
   const auto cold_ms = ReadNumber(*object, "warmup_left_ms");
   const auto sequence = ReadInteger(*object, "seq");
   if (!service || !zone || !version || !slots || !cold_ms || !sequence) {
-    return Malformed("the entry of leaf " + id + " lacks a field");
+    return Malformed("the entry of leaf " + id +
+                     " has a missing or invalid field");
   }
   if (!address || !http1::ParseEndpoint(*address).is_ok()) {
-    return Malformed("the entry of leaf " + id + " names no address");
+    return Malformed("the entry of leaf " + id + " has no valid address");
   }
   if (service->empty() || *slots < 1 || *slots > kMostSlots || *cold_ms < 0.0) {
     return Malformed("the entry of leaf " + id + " has a field out of range");
@@ -222,7 +224,7 @@
   }
   const auto started = DecodeStart(*object);
   if (!started) {
-    return Malformed("the entry of leaf " + id + " has no whole start time");
+    return Malformed("the entry of leaf " + id + " has an invalid start time");
   }
   upstream::LeafEntry entry;
   entry.started_wall_ms = *started;
--- a/src/platform/configuration_decoder.h
+++ b/src/platform/configuration_decoder.h
@@ -11,18 +11,19 @@
 
 namespace medlarspread::platform {
 
-// The key of the configuration, which the operators write.
+// Key of the configuration, which is written by the operators.
 constexpr const char* kConfigurationKey = "op/config";
-// Before the identifier of a leaf in the key of its entry.
+// Key prefix of a leaf's entry; the leaf's identifier follows.
 constexpr const char* kLeafKeyPrefix = "servers/";
 
-// kMalformed if the text is not a whole configuration.
+// Fails with kMalformed if the text is not a complete configuration.
 base::Result<blackboard::RoutesView> DecodeConfiguration(
     const std::string& text);
 
-// The entry of the leaf that is called `id`. Its region stays empty, since the
-// entry does not name it. kMalformed if the leaf can't have written it: a field
-// is missing, of another type or out of range, or the state is unknown.
+// Decodes the entry of the leaf with identifier `id`. The region stays empty,
+// since entries don't contain it. Fails with kMalformed if the entry is
+// invalid: a field is missing, of another type or out of range, or the state is
+// unknown.
 base::Result<upstream::LeafEntry> DecodeLeaf(const std::string& id,
                                              const std::string& text,
                                              base::MonotonicTime now);
--- a/src/platform/forwarded_message.cc
+++ b/src/platform/forwarded_message.cc
@@ -1,4 +1,5 @@
-// The caller's message, byte for byte, but for what concerns one connection.
+// The caller's message is forwarded byte for byte, except for the fields that
+// concern its connection.
 
 #include "src/platform/forwarded_message.h"
 
--- a/src/platform/forwarded_message.h
+++ b/src/platform/forwarded_message.h
@@ -1,4 +1,5 @@
-// What requests to leaves and to other daemons have in common on the wire.
+// Encoding that requests to leaves and requests to other daemons have in
+// common.
 
 #ifndef MEDLARSPREAD_PLATFORM_FORWARDED_MESSAGE_H_
 #define MEDLARSPREAD_PLATFORM_FORWARDED_MESSAGE_H_
@@ -9,10 +10,10 @@
 
 namespace medlarspread::platform {
 
-// States how long the sender will wait from now on.
+// Sets how long the sender will wait from now on.
 void SetTimeLeft(http1::Request& request, base::Duration time_left);
 
-// The caller's request as it is passed on, with the time that is left.
+// The caller's request with the remaining time, as it is forwarded.
 http1::Request MakeForwardedMessage(const upstream::ForwardCall& call);
 
 }  // namespace medlarspread::platform
--- a/src/platform/leaf_codec.cc
+++ b/src/platform/leaf_codec.cc
@@ -1,4 +1,4 @@
-// Requests to leaves and what their answers mean.
+// Encoding of requests to leaves and decoding of their answers.
 
 #include "src/platform/leaf_codec.h"
 
@@ -28,8 +28,8 @@
   return request;
 }
 
-// A leaf that echoes no identifier can't be told from one that answers late;
-// it answers on a connection that carried one request at a time.
+// An answer without a request identifier is accepted: it can't be distinguished
+// from a late one, but the connection carries one request at a time.
 bool IsMine(const upstream::ForwardCall& call, const Response& response) {
   const auto field = response.find(kRequestId);
   return field == response.end() || field->value() == call.request_id;
@@ -47,8 +47,8 @@
       std::min(seconds, kLongestSeconds) * kMicrosecondsPerSecond));
 }
 
-// These statuses tell a caller that its request has not run. They are passed
-// on only if the leaf says the same.
+// Statuses that tell a caller that its request has not run. They are passed on
+// only if the leaf confirms it.
 bool PromisesNotRun(Status status) {
   return status == Status::too_many_requests ||
          status == Status::service_unavailable ||
--- a/src/platform/leaf_codec.h
+++ b/src/platform/leaf_codec.h
@@ -1,4 +1,5 @@
-// Translates between the query core and the leaves' HTTP messages.
+// Translates between the types of the query module and the leaves' HTTP
+// messages.
 
 #ifndef MEDLARSPREAD_PLATFORM_LEAF_CODEC_H_
 #define MEDLARSPREAD_PLATFORM_LEAF_CODEC_H_
--- a/src/platform/peer_codec.cc
+++ b/src/platform/peer_codec.cc
@@ -1,4 +1,4 @@
-// Requests to peers and what their answers mean.
+// Encoding and decoding of requests between daemons and their answers.
 
 #include "src/platform/peer_codec.h"
 
@@ -44,7 +44,7 @@
   return text;
 }
 
-// The words between commas and blanks.
+// Splits the text at commas and spaces.
 std::vector<std::string> Split(boost::beast::string_view text) {
   std::vector<std::string> words;
   std::string word;
@@ -80,7 +80,8 @@
   return request;
 }
 
-// Daemons answer one request at a time on a connection, and nothing late.
+// Daemons answer one request at a time on a connection and send no late
+// answers.
 bool IsMine(const upstream::ForwardCall& /*call*/,
             const Response& /*response*/) {
   return true;
@@ -106,7 +107,7 @@
     reply.error = base::MakeError(
         is_timeout ? base::ErrorCode::kTimeout : base::ErrorCode::kUnavailable,
         base::Step::kReadUpstream, peer.address,
-        "the aggregator answered with status " +
+        "the peer answered with status " +
             std::to_string(response.result_int()));
   }
   reply.message = std::move(response);
--- a/src/platform/peer_codec.h
+++ b/src/platform/peer_codec.h
@@ -1,6 +1,5 @@
-// Parts of requests to all shards that one daemon hands to another, on the
-// wire: the caller's request as the platform has it, the part's shards and the
-// revision of the routes.
+// The wire format of parts of all-shard requests that one daemon hands over to
+// another: the caller's request, the part's shards and the routes revision.
 
 #ifndef MEDLARSPREAD_PLATFORM_PEER_CODEC_H_
 #define MEDLARSPREAD_PLATFORM_PEER_CODEC_H_
@@ -16,11 +15,11 @@
 
 namespace medlarspread::platform {
 
-// For the daemon that hands over.
+// For the daemon that hands over a part.
 upstream::ForwardCodec MakePeerCodec();
 
-// A peer asks whether this daemon lives, and may say how many shards of a part
-// that it handed over may be missing.
+// A peer's check whether this daemon is alive. It may also set how many shards
+// of a part that it handed over may be missing.
 struct PeerProbe {
   std::string request_id;
   std::optional<int> most_missing;
@@ -28,14 +27,14 @@
 
 using FromPeer = std::variant<PeerProbe, query::IncomingRequest>;
 
-// For the daemon that takes over. Fails if the request can't be read.
+// For the daemon that takes over a part. Fails if the request is invalid.
 base::Result<FromPeer> DecodeFromPeer(http1::Request request);
 
 // The answer to a part that a peer handed over.
 http1::Response EncodePartAnswer(query::ForwardedAnswer answer);
 
-// `missing` is how many shards of the part are missing; absent if there is no
-// such part in work.
+// `missing` is the number of shards of the part that are still missing; absent
+// if this daemon is not working on such a part.
 http1::Response EncodeProbeAnswer(std::optional<int> missing);
 
 }  // namespace medlarspread::platform
--- a/src/platform/store_calls.cc
+++ b/src/platform/store_calls.cc
@@ -1,4 +1,4 @@
-// The store's calls as HTTP requests with JSON bodies.
+// Encoding of the store's calls as HTTP requests with JSON bodies.
 
 #include "src/platform/store_calls.h"
 
@@ -31,7 +31,7 @@
 using store::ReadString;
 using web::json::value;
 
-// The body of an answer, and the era of the store that gave it.
+// The body of an answer, and the era of the store that sent it.
 struct Answer {
   std::shared_ptr<value> body;
   std::int64_t era = 0;
@@ -40,9 +40,9 @@
 using AnswerCallback = std::function<void(Result<Answer>)>;
 
 constexpr int kHttpVersion = 11;
-// Rises by one each time the store comes back from a copy.
+// Increases by one each time the store is restored from a backup.
 constexpr const char* kEraField = "Store-Era";
-// A silent store is found out within this time, also by a watch that waits.
+// An unresponsive store is detected within this time, also during a watch.
 constexpr base::Duration kSilence = base::Milliseconds(2'000);
 
 std::int64_t ToWholeMilliseconds(base::Duration duration) {
@@ -65,8 +65,8 @@
   }
 }
 
-// The bytes of a value; empty if they can't be read, which no reader of a key
-// takes for a value. The other keys of the answer hold.
+// The decoded bytes of a value. An invalid value becomes empty, which no reader
+// of a key accepts, so that the other keys of the answer can still be used.
 std::string DecodeBytes(const value& row) {
   const auto text = ReadString(row, "value");
   if (!text) {
@@ -80,7 +80,7 @@
   }
 }
 
-// Zero if the answer does not name its era.
+// Zero if the answer does not contain its era.
 std::int64_t DecodeEra(const Response& response) {
   const auto field = response.find(kEraField);
   std::int64_t era = 0;
@@ -91,7 +91,7 @@
   return era;
 }
 
-// An item as it was written, or a removal; absent if it names no key.
+// A written item or a removal; absent if the key or revision is missing.
 std::optional<store::Event> DecodeEvent(const value& row, std::int64_t era) {
   const auto key = ReadString(row, "key");
   const auto revision = ReadInteger(row, "rev");
@@ -119,18 +119,19 @@
     }
   }
   if (const auto unread = rows->size() - events.size(); unread > 0) {
-    log.Write({.level = base::LogLevel::kWarning,
-               .step = Step::kReadStore,
-               .message = std::to_string(unread) +
-                          " keys of the store have no name or revision and "
-                          "are left out"});
+    log.Write(
+        {.level = base::LogLevel::kWarning,
+         .step = Step::kReadStore,
+         .message = std::to_string(unread) +
+                    " items in the store's answer have no key or revision "
+                    "and were ignored"});
   }
   return events;
 }
 
 Error Malformed(const std::string& peer) {
   return base::MakeError(ErrorCode::kMalformed, Step::kReadStore, peer,
-                         "the store's answer lacks a field or has an odd one");
+                         "the store's answer has a missing or invalid field");
 }
 
 bool ReadFlag(const value& object, const char* field) {
@@ -244,7 +245,7 @@
   }
   auto body = store::ParseObject(response.body());
   if (!body) {
-    // A call that answers nothing has an empty body.
+    // Calls without a result have an empty body.
     if (response.body().empty()) {
       return Answer{std::make_shared<value>(value::object()),
                     DecodeEra(response)};
--- a/src/platform/store_calls.h
+++ b/src/platform/store_calls.h
@@ -1,4 +1,4 @@
-// The client of the platform's store.
+// The client of the platform's key-value store.
 
 #ifndef MEDLARSPREAD_PLATFORM_STORE_CALLS_H_
 #define MEDLARSPREAD_PLATFORM_STORE_CALLS_H_
@@ -19,14 +19,14 @@
 struct StoreCallsSettings {
   // "ip:port" of the store.
   std::string address;
-  // How long a call may take beside the time that a watch waits. The store
-  // answers in 4 ms, and in 60 times as long on a slow day.
+  // Timeout of a call, in addition to the time that a watch waits. The store
+  // normally answers in 4 ms, and takes 60 times as long on a slow day.
   base::Duration timeout = base::Milliseconds(1'000);
 };
 
-// Calls share kept connections; none is sent twice. Each answer that names the
-// store's era, also one that turns the call away, is told to `did_see_era`
-// before the call's own callback. Runs on the control thread.
+// Calls share persistent connections, and no call is sent twice. `did_see_era`
+// is called for each answer that names the store's era, error responses
+// included, before the call's own callback. Runs on the control thread.
 class StoreCalls {
  public:
   StoreCalls(boost::asio::io_context& context,
--- a/tests/platform/codec_test.cc
+++ b/tests/platform/codec_test.cc
@@ -1,4 +1,4 @@
-// What callers and leaves write, and what it means.
+// Tests the encoding and decoding of callers' and leaves' messages.
 
 #include <gtest/gtest.h>
 
--- a/tests/platform/configuration_decoder_test.cc
+++ b/tests/platform/configuration_decoder_test.cc
@@ -1,4 +1,4 @@
-// Configurations and entries of leaves, well-formed and not.
+// Tests the decoding of valid and invalid configurations and leaf entries.
 
 #include "src/platform/configuration_decoder.h"
 
@@ -42,7 +42,7 @@
                 .parts[1]
                 .weight,
             0.5);
-  // Without a latency target the timeout is one.
+  // Without a latency target the timeout is used.
   EXPECT_EQ(view.value().routes[2]->targets.latency, base::Milliseconds(3'000));
   EXPECT_EQ(view.value().connections.at("x"), 26);
   EXPECT_EQ(view.value().limits.body_bytes, 262144U);
@@ -71,8 +71,8 @@
   (void)DecodeLeaf("id", text, {});
 }
 
-// A whole entry; `field` with `text` in place of what it holds, or left out if
-// `text` is empty.
+// A valid entry in which `field` has the value `text`, or is missing if `text`
+// is empty.
 std::string MakeEntry(const std::string& field = "",
                       const std::string& text = "") {
   const std::vector<std::pair<std::string, std::string>> whole = {
--- a/tests/platform/peer_codec_test.cc
+++ b/tests/platform/peer_codec_test.cc
@@ -1,4 +1,4 @@
-// What one daemon writes to another, the other reads.
+// Tests that a daemon can decode what another one encodes.
 
 #include "src/platform/peer_codec.h"
 
