--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -325,7 +325,7 @@
   };
   listener.handle = [this](http1::Request request,
                            http1::Respond respond) -> http1::Abandon {
-    auto decoded = platform::DecodeFromPeer(std::move(request));
+    auto decoded = platform::DecodePeerMessage(std::move(request));
     if (!decoded.is_ok()) {
       log_.DidFail(decoded.error(), "refused an invalid request of a peer");
       respond(platform::EncodeInvalid(decoded.error()));
--- a/src/platform/caller_codec.cc
+++ b/src/platform/caller_codec.cc
@@ -47,7 +47,7 @@
   return response;
 }
 
-Response EncodePassedOn(query::PassedOn passed) {
+Response EncodeLeafResponse(query::PassedOn passed) {
   Response response = std::move(passed.message);
   http1::RemoveConnectionFields(response);
   response.version(kHttpVersion);
@@ -59,7 +59,7 @@
   return response;
 }
 
-Response EncodeGathered(const query::Gathered& gathered) {
+Response EncodeMergedRecords(const query::Gathered& gathered) {
   Response response(Status::ok, kHttpVersion);
   std::string proofs;
   for (const std::string& proof : gathered.proofs) {
@@ -110,9 +110,11 @@
   return std::visit(
       base::Overloaded{
           [](query::PassedOn& passed) {
-            return EncodePassedOn(std::move(passed));
+            return EncodeLeafResponse(std::move(passed));
+          },
+          [](query::Gathered& gathered) {
+            return EncodeMergedRecords(gathered);
           },
-          [](query::Gathered& gathered) { return EncodeGathered(gathered); },
           [](query::NoRoute&) { return MakePlain(Status::not_found); },
           [](query::Refused& refused) { return EncodeRefused(refused); },
           [](query::Unknown& unknown) { return EncodeUnknown(unknown); }},
--- a/src/platform/configuration_decoder.cc
+++ b/src/platform/configuration_decoder.cc
@@ -29,13 +29,13 @@
 // request could notice the difference.
 constexpr double kNegligibleColdMs = 300.0;
 // No leaf processes more requests at once; larger numbers are invalid.
-constexpr std::int64_t kMostSlots = 1'000'000;
+constexpr std::int64_t kMaxSlots = 1'000'000;
 // One year. Longer times are invalid as timeouts and would overflow the clock.
-constexpr double kLongestMs = 365.0 * 24 * 3600 * 1000;
-constexpr std::int64_t kMostRecords = 1'000'000'000;
-constexpr std::int64_t kLeastUrgent = 1'000'000;
-constexpr std::int64_t kMostAttempts = 1'000;
-constexpr std::int64_t kMostConnections = 1'000'000;
+constexpr double kMaxDurationMs = 365.0 * 24 * 3600 * 1000;
+constexpr std::int64_t kMaxRecords = 1'000'000'000;
+constexpr std::int64_t kLowestPriority = 1'000'000;
+constexpr std::int64_t kMaxAttempts = 1'000;
+constexpr std::int64_t kMaxConnections = 1'000'000;
 
 base::Error Malformed(const std::string& what) {
   return base::MakeError(base::ErrorCode::kMalformed, base::Step::kTargets, "",
@@ -45,7 +45,7 @@
 std::optional<base::Duration> ReadMilliseconds(const value& object,
                                                const char* field) {
   const auto number = ReadNumber(object, field);
-  if (!number || *number < 0.0 || *number > kLongestMs) {
+  if (!number || *number < 0.0 || *number > kMaxDurationMs) {
     return std::nullopt;
   }
   constexpr double kMicrosecondsPerMillisecond = 1000.0;
@@ -76,7 +76,7 @@
     all.shards.push_back(shard.as_string());
   }
   const auto most = ReadInteger(route, "top_k");
-  if (!most || *most < 0 || *most > kMostRecords || all.shards.empty()) {
+  if (!most || *most < 0 || *most > kMaxRecords || all.shards.empty()) {
     return std::nullopt;
   }
   all.most_records = static_cast<std::size_t>(*most);
@@ -114,10 +114,10 @@
   route->destination = *destination;
   route->is_idempotent = ReadString(row, "kind") == "idempotent";
   route->priority = static_cast<int>(std::clamp<std::int64_t>(
-      ReadInteger(row, "priority").value_or(0), 0, kLeastUrgent));
+      ReadInteger(row, "priority").value_or(0), 0, kLowestPriority));
   route->timeout = *timeout;
   route->most_attempts = static_cast<int>(std::clamp<std::int64_t>(
-      ReadInteger(row, "attempts").value_or(1), 1, kMostAttempts));
+      ReadInteger(row, "attempts").value_or(1), 1, kMaxAttempts));
   return route;
 }
 
@@ -184,7 +184,7 @@
       const auto connections = ReadInteger(row, "max_conns");
       if (name && connections && *connections > 0) {
         view.connections[*name] =
-            static_cast<int>(std::min(kMostConnections, *connections));
+            static_cast<int>(std::min(kMaxConnections, *connections));
       }
     }
   }
@@ -215,7 +215,7 @@
   if (!address || !http1::ParseEndpoint(*address).is_ok()) {
     return Malformed("the entry of leaf " + id + " has no valid address");
   }
-  if (service->empty() || *slots < 1 || *slots > kMostSlots || *cold_ms < 0.0) {
+  if (service->empty() || *slots < 1 || *slots > kMaxSlots || *cold_ms < 0.0) {
     return Malformed("the entry of leaf " + id + " has a field out of range");
   }
   const auto state = DecodeState(ReadString(*object, "state").value_or(""));
--- a/src/platform/header_names.h
+++ b/src/platform/header_names.h
@@ -25,7 +25,7 @@
 constexpr const char* kPartShards = "Medlarspread-Part-Shards";
 // Between daemons only: how many of the part's shards may be missing from now
 // on.
-constexpr const char* kMostMissing = "Medlarspread-Most-Missing";
+constexpr const char* kMaxMissing = "Medlarspread-Most-Missing";
 // Between daemons only: present in a refusal if leaves received the part and
 // each of them rejected it.
 constexpr const char* kDidReachLeaves = "Medlarspread-Did-Reach-Leaves";
--- a/src/platform/leaf_codec.cc
+++ b/src/platform/leaf_codec.cc
@@ -37,19 +37,19 @@
 
 base::Duration DecodeRetryAfter(const Response& response) {
   const std::string text(response[kRetryAfter]);
-  constexpr double kLongestSeconds = 60.0;
+  constexpr double kMaxSeconds = 60.0;
   constexpr double kMicrosecondsPerSecond = 1e6;
   const double seconds = std::strtod(text.c_str(), nullptr);
   if (!(seconds > 0.0)) {
     return {};
   }
   return base::Duration(static_cast<std::int64_t>(
-      std::min(seconds, kLongestSeconds) * kMicrosecondsPerSecond));
+      std::min(seconds, kMaxSeconds) * kMicrosecondsPerSecond));
 }
 
 // Statuses that tell a caller that its request has not run. They are passed on
 // only if the leaf confirms it.
-bool PromisesNotRun(Status status) {
+bool ImpliesNotRun(Status status) {
   return status == Status::too_many_requests ||
          status == Status::service_unavailable ||
          status == Status::request_timeout ||
@@ -63,7 +63,7 @@
   if (response.find(kNotRun) != response.end()) {
     return LeafOutcome::kShed;
   }
-  if (PromisesNotRun(response.result())) {
+  if (ImpliesNotRun(response.result())) {
     return LeafOutcome::kLost;
   }
   if (http::to_status_class(response.result()) !=
--- a/src/platform/peer_codec.cc
+++ b/src/platform/peer_codec.cc
@@ -64,18 +64,18 @@
 Request Encode(const blackboard::Upstream& /*peer*/,
                const upstream::ForwardCall& call) {
   Request request = MakeForwardedMessage(call);
-  const upstream::Handover& terms = call.handover.value();
-  if (terms.routes_revision > 0) {
-    request.set(kRoutesRevision, std::to_string(terms.routes_revision));
-    request.set(kPartShards, Join(terms.shards));
-    if (terms.leaves_of_others > 0) {
-      request.set(kLeavesOfOthers, std::to_string(terms.leaves_of_others));
+  const upstream::Handover& handover = call.handover.value();
+  if (handover.routes_revision > 0) {
+    request.set(kRoutesRevision, std::to_string(handover.routes_revision));
+    request.set(kPartShards, Join(handover.shards));
+    if (handover.leaves_of_others > 0) {
+      request.set(kLeavesOfOthers, std::to_string(handover.leaves_of_others));
     }
   } else {
     request.set(kRequestId, call.request_id);
   }
-  if (terms.most_missing) {
-    request.set(kMostMissing, std::to_string(*terms.most_missing));
+  if (handover.most_missing) {
+    request.set(kMaxMissing, std::to_string(*handover.most_missing));
   }
   return request;
 }
@@ -120,15 +120,15 @@
   return {Encode, SetTimeLeft, IsMine, Decode};
 }
 
-base::Result<FromPeer> DecodeFromPeer(Request request) {
+base::Result<PeerMessage> DecodePeerMessage(Request request) {
   const auto revision = ParseInteger<std::int64_t>(request[kRoutesRevision]);
   if (!revision) {
     const auto id = request[kRequestId];
-    return FromPeer(PeerProbe{std::string(id.data(), id.size()),
-                              ParseInteger<int>(request[kMostMissing])});
+    return PeerMessage(PeerProbe{std::string(id.data(), id.size()),
+                                 ParseInteger<int>(request[kMaxMissing])});
   }
-  upstream::Handover terms{*revision, Split(request[kPartShards]), {}};
-  terms.leaves_of_others =
+  upstream::Handover handover{*revision, Split(request[kPartShards]), {}};
+  handover.leaves_of_others =
       std::max(0, ParseInteger<int>(request[kLeavesOfOthers]).value_or(0));
   request.erase(kLeavesOfOthers);
   request.erase(kRoutesRevision);
@@ -137,8 +137,8 @@
   if (!incoming.is_ok()) {
     return incoming.error();
   }
-  incoming.value().handover = std::move(terms);
-  return FromPeer(std::move(incoming.value()));
+  incoming.value().handover = std::move(handover);
+  return PeerMessage(std::move(incoming.value()));
 }
 
 Response EncodePartAnswer(query::ForwardedAnswer answer) {
--- a/src/platform/peer_codec.h
+++ b/src/platform/peer_codec.h
@@ -25,10 +25,10 @@
   std::optional<int> most_missing;
 };
 
-using FromPeer = std::variant<PeerProbe, query::IncomingRequest>;
+using PeerMessage = std::variant<PeerProbe, query::IncomingRequest>;
 
 // For the daemon that takes over a part. Fails if the request is invalid.
-base::Result<FromPeer> DecodeFromPeer(http1::Request request);
+base::Result<PeerMessage> DecodePeerMessage(http1::Request request);
 
 // The answer to a part that a peer handed over.
 http1::Response EncodePartAnswer(query::ForwardedAnswer answer);
--- a/src/platform/store_calls.cc
+++ b/src/platform/store_calls.cc
@@ -41,9 +41,9 @@
 
 constexpr int kHttpVersion = 11;
 // Increases by one each time the store is restored from a backup.
-constexpr const char* kEraField = "Store-Era";
+constexpr const char* kEraHeader = "Store-Era";
 // An unresponsive store is detected within this time, also during a watch.
-constexpr base::Duration kSilence = base::Milliseconds(2'000);
+constexpr base::Duration kAckTimeout = base::Milliseconds(2'000);
 
 std::int64_t ToWholeMilliseconds(base::Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
@@ -82,7 +82,7 @@
 
 // Zero if the answer does not contain its era.
 std::int64_t DecodeEra(const Response& response) {
-  const auto field = response.find(kEraField);
+  const auto field = response.find(kEraHeader);
   std::int64_t era = 0;
   if (field != response.end()) {
     const auto text = field->value();
@@ -189,7 +189,7 @@
   http1::ClientConnection::Settings settings;
   settings.peer = endpoint.value();
   settings.connect_timeout = settings_.timeout;
-  settings.silence = kSilence;
+  settings.silence = kAckTimeout;
   settings.did_change =
       [self = weak_from_this()](http1::ClientConnection& connection) {
         const auto calls = self.lock();
--- a/tests/platform/codec_test.cc
+++ b/tests/platform/codec_test.cc
@@ -27,7 +27,7 @@
   return request;
 }
 
-TEST(CallerCodecTest, DecodesWhatTheCoreNeeds) {
+TEST(CallerCodecTest, DecodesTheFieldsOfARequest) {
   const auto incoming = DecodeRequest(MakeRequest());
   ASSERT_TRUE(incoming.is_ok());
   EXPECT_EQ(incoming.value().request_id, "id-1");
@@ -37,7 +37,7 @@
   EXPECT_EQ(incoming.value().message->count(http::field::connection), 0U);
 }
 
-TEST(CallerCodecTest, AnOddDeadlineIsNone) {
+TEST(CallerCodecTest, AnInvalidDeadlineIsIgnored) {
   for (const char* text : {"", "-1", "12x", "99999999999999999999"}) {
     Request request = MakeRequest();
     request.set(kDeadline, text);
@@ -51,7 +51,7 @@
   EXPECT_FALSE(DecodeRequest(std::move(request)).is_ok());
 }
 
-TEST(CallerCodecTest, GatheredNamesProofsAndWhatIsMissing) {
+TEST(CallerCodecTest, MergedRecordsNameProofsAndMissingShards) {
   const Response response =
       EncodeAnswer(query::Gathered{"records", {"p1", "p2"}, 3});
   EXPECT_EQ(response.result(), Status::ok);
@@ -60,7 +60,7 @@
   EXPECT_EQ(response.body(), "records");
 }
 
-TEST(CallerCodecTest, RefusalsSayWhenToComeBack) {
+TEST(CallerCodecTest, RefusalsHaveARetryDelay) {
   query::Refused refused;
   refused.retry_after = base::Milliseconds(50);
   const Response response = EncodeAnswer(refused);
@@ -138,7 +138,7 @@
   EXPECT_EQ(Decode(std::move(encoded)).outcome, LeafOutcome::kMismatch);
 }
 
-TEST_F(LeafCodecTest, OnlyTheLeafsWordMeansNotRun) {
+TEST_F(LeafCodecTest, OnlyTheLeafsConfirmationMeansNotRun) {
   Response shed(Status::service_unavailable, 11);
   shed.set(kNotRun, "1");
   shed.set(kRetryAfter, "0.25");
--- a/tests/platform/configuration_decoder_test.cc
+++ b/tests/platform/configuration_decoder_test.cc
@@ -12,7 +12,7 @@
 namespace medlarspread::platform {
 namespace {
 
-constexpr const char* kWhole = R"({"version":7,"routes":[
+constexpr const char* kValidConfiguration = R"({"version":7,"routes":[
  {"name":"g","host":"h.example","prefix":"/a/","kind":"idempotent",
   "timeout_ms":800,"slo_ms":80,"priority":2,"gather":["s1","s2"],
   "attempts":2,"top_k":5,"min_coverage":0.75},
@@ -26,7 +26,7 @@
   "header_timeout_ms":3000,"idle_timeout_ms":15000}})";
 
 TEST(ConfigurationDecoderTest, DecodesEveryKindOfRoute) {
-  const auto view = DecodeConfiguration(kWhole);
+  const auto view = DecodeConfiguration(kValidConfiguration);
   ASSERT_TRUE(view.is_ok()) << view.error().ToString();
   EXPECT_EQ(view.value().revision, 7);
   ASSERT_EQ(view.value().routes.size(), 3U);
@@ -64,7 +64,7 @@
 }
 
 RC_GTEST_PROP(ConfigurationDecoderProperty, NeverThrows, ()) {
-  std::string text = kWhole;
+  std::string text = kValidConfiguration;
   const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
   text[at] = *rc::gen::arbitrary<char>();
   (void)DecodeConfiguration(text);
@@ -75,14 +75,14 @@
 // is empty.
 std::string MakeEntry(const std::string& field = "",
                       const std::string& text = "") {
-  const std::vector<std::pair<std::string, std::string>> whole = {
+  const std::vector<std::pair<std::string, std::string>> fields = {
       {"service", "\"x\""},     {"addr", "\"10.0.0.1:80\""},
       {"zone", "\"z\""},        {"version", "\"v1\""},
       {"slots", "2"},           {"state", "\"ready\""},
       {"warmup_left_ms", "0"},  {"seq", "4"},
       {"born", "1796251705697"}};
   std::string entry;
-  for (const auto& [name, value] : whole) {
+  for (const auto& [name, value] : fields) {
     const std::string& shown = name == field ? text : value;
     if (!shown.empty()) {
       entry += entry.empty() ? "{\"" : ",\"";
@@ -136,7 +136,7 @@
 }
 
 TEST(LeafDecoderTest, FieldsOfAnotherTypeOrRangeMakeItMalformed) {
-  const std::vector<std::pair<std::string, std::string>> odd = {
+  const std::vector<std::pair<std::string, std::string>> invalid = {
       {"service", "7"},         {"service", "\"\""},
       {"addr", "\"nowhere\""},  {"addr", "{}"},
       {"zone", "null"},         {"version", "[]"},
@@ -147,7 +147,7 @@
       {"seq", "\"4\""},         {"seq", "4.5"},
       {"born", "1.5"},          {"born", "\"1796251705697\""},
       {"born", "-3"},           {"born", "null"}};
-  for (const auto& [field, text] : odd) {
+  for (const auto& [field, text] : invalid) {
     EXPECT_FALSE(DecodeLeaf("i", MakeEntry(field, text), {}).is_ok())
         << field << ": " << text;
   }
--- a/tests/platform/peer_codec_test.cc
+++ b/tests/platform/peer_codec_test.cc
@@ -40,7 +40,7 @@
 };
 
 TEST_F(PeerCodecTest, APartArrivesAsItWasHandedOver) {
-  auto decoded = DecodeFromPeer(Encode());
+  auto decoded = DecodePeerMessage(Encode());
   ASSERT_TRUE(decoded.is_ok());
   const auto* incoming = std::get_if<query::IncomingRequest>(&decoded.value());
   ASSERT_NE(incoming, nullptr);
@@ -58,7 +58,7 @@
     Request request = Encode();
     EXPECT_EQ(request.count("Medlarspread-Leaves-Left-Over"),
               static_cast<std::size_t>(leaves));
-    auto decoded = DecodeFromPeer(std::move(request));
+    auto decoded = DecodePeerMessage(std::move(request));
     const auto* incoming =
         std::get_if<query::IncomingRequest>(&decoded.value());
     ASSERT_NE(incoming, nullptr);
@@ -67,8 +67,8 @@
   }
 }
 
-TEST_F(PeerCodecTest, TheLeavesSeeNothingOfTheHandover) {
-  auto decoded = DecodeFromPeer(Encode());
+TEST_F(PeerCodecTest, HandoverFieldsAreNotSentToLeaves) {
+  auto decoded = DecodePeerMessage(Encode());
   ASSERT_TRUE(decoded.is_ok());
   const auto& message =
       *std::get<query::IncomingRequest>(decoded.value()).message;
@@ -79,11 +79,11 @@
   EXPECT_EQ(message.find("Medlarspread-Part-Shards"), message.end());
 }
 
-TEST_F(PeerCodecTest, AProbeNamesTheRequestAndWhatMayBeMissing) {
+TEST_F(PeerCodecTest, AProbeNamesTheRequestAndTheMissingLimit) {
   call_.message = std::make_shared<const Request>(
       boost::beast::http::verb::options, "*", 11);
   call_.handover = upstream::Handover{0, {}, 2};
-  auto decoded = DecodeFromPeer(Encode());
+  auto decoded = DecodePeerMessage(Encode());
   ASSERT_TRUE(decoded.is_ok());
   const auto* probe = std::get_if<PeerProbe>(&decoded.value());
   ASSERT_NE(probe, nullptr);
@@ -91,7 +91,7 @@
   EXPECT_EQ(probe->most_missing, 2);
 }
 
-TEST_F(PeerCodecTest, TheAnswerToAProbeSaysWhatIsMissing) {
+TEST_F(PeerCodecTest, TheAnswerToAProbeHasTheMissingCount) {
   EXPECT_EQ(Decode(EncodeProbeAnswer(3)).missing_shards, 3);
   const auto reply = Decode(EncodeProbeAnswer(std::nullopt));
   EXPECT_EQ(reply.outcome, LeafOutcome::kAnswered);
@@ -134,7 +134,7 @@
 TEST_F(PeerCodecTest, APartWithoutARequestIsRefused) {
   Request request(boost::beast::http::verb::get, "/a", 11);
   request.set("Medlarspread-Routes-Revision", "7");
-  EXPECT_FALSE(DecodeFromPeer(std::move(request)).is_ok());
+  EXPECT_FALSE(DecodePeerMessage(std::move(request)).is_ok());
 }
 
 }  // namespace
