--- a/tests/membership/draining_notices_test.cc
+++ b/tests/membership/draining_notices_test.cc
@@ -24,7 +24,7 @@
   EXPECT_EQ(current.at("leaf-1"), 100);
 }
 
-TEST_F(DrainingNoticesTest, AnEchoAtTheEndOfItsLifeIsNotNew) {
+TEST_F(DrainingNoticesTest, ACopyOfAnExpiredNoticeIsNotNew) {
   ASSERT_TRUE(notices_.Add("leaf-1", base::Milliseconds(0), kStart));
   const auto end = kStart + kLifetime;
   EXPECT_TRUE(notices_.Current(end).empty());
@@ -37,7 +37,7 @@
       notices_.Add("leaf-1", base::Milliseconds(0), kStart + kLifetime));
 }
 
-TEST_F(DrainingNoticesTest, BoundsWhatIsPassedOnAndRefusesOldNews) {
+TEST_F(DrainingNoticesTest, LimitsNoticesAndRejectsExpiredOnes) {
   for (const char* leaf : {"leaf-1", "leaf-2", "leaf-3"}) {
     EXPECT_TRUE(notices_.Add(leaf, base::Milliseconds(0), kStart));
   }
--- a/tests/membership/lease_registration_test.cc
+++ b/tests/membership/lease_registration_test.cc
@@ -115,7 +115,7 @@
   EXPECT_EQ(lease_, 1);
 }
 
-TEST_F(LeaseRegistrationTest, ReadersRenewEachSecondOthersSeldom) {
+TEST_F(LeaseRegistrationTest, ReadersRenewEachSecondOthersRarely) {
   StartRegistered();
   scheduler_->Advance(Milliseconds(19'000));
   EXPECT_EQ(renewals_, 0);
@@ -179,7 +179,7 @@
   EXPECT_DOUBLE_EQ(view->members.at("vm-4").processor_share, 1.0);
 }
 
-TEST_F(LeaseRegistrationTest, AnEntryThatNoDaemonWroteNamesNone) {
+TEST_F(LeaseRegistrationTest, AnInvalidEntryRemovesItsDaemon) {
   registration_->DidChange("vm-2", "s1 10.0.0.2:80 south 10.0.0.2:81 0.5");
   registration_->Publish();
   for (const std::string& value :
@@ -214,7 +214,7 @@
 }
 
 // Daemons on large VMs register first, so that the others can follow them.
-TEST_F(LeaseRegistrationTest, TheStrongerAVmTheSoonerItRegisters) {
+TEST_F(LeaseRegistrationTest, LargerVmsRegisterEarlier) {
   registration_->Start();
   scheduler_->Advance(Milliseconds(1'100));
   EXPECT_EQ(leases_, 0);
@@ -222,7 +222,7 @@
   EXPECT_EQ(leases_, 1);
 }
 
-TEST_F(LeaseRegistrationTest, AFollowerOfAStrongerDaemonCostsTheStoreNothing) {
+TEST_F(LeaseRegistrationTest, AFollowerOfALargerVmMakesNoStoreCalls) {
   registration_->Start();
   registration_->DidChange("big", "n1 10.0.0.9:80 north 10.0.0.9:81 1");
   scheduler_->Advance(Milliseconds(3'000));
@@ -256,7 +256,7 @@
 }
 
 // A daemon of another failure domain does not list this one.
-TEST_F(LeaseRegistrationTest, AStrongerDaemonElsewhereIsNotFollowed) {
+TEST_F(LeaseRegistrationTest, ALargerVmInAnotherDomainIsNotFollowed) {
   registration_->Start();
   registration_->DidChange("big", "s1 10.0.0.9:80 south 10.0.0.9:81 1");
   scheduler_->Advance(Milliseconds(1'300));
@@ -284,7 +284,7 @@
   EXPECT_EQ(value_, "small-1 n1 10.0.0.2:80 north - 0.1\n");
 }
 
-TEST_F(LeaseRegistrationTest, WhatIsNoFollowerIsNotListed) {
+TEST_F(LeaseRegistrationTest, InvalidFollowersAreNotListed) {
   StartRegistered();
   const auto written = keys_.size();
   registration_->DidChange("big", "n1 10.0.0.9:80 north 10.0.0.9:81 0.25");
@@ -310,7 +310,7 @@
   EXPECT_EQ(value_, list);
 }
 
-TEST_F(LeaseRegistrationTest, AListThatWasTakenAwayCountsForAWhile) {
+TEST_F(LeaseRegistrationTest, ARemovedListCountsForAWhile) {
   registration_->Start();
   registration_->DidChangeFollowers("big",
                                     "small-1 n1 10.0.0.2:80 north - 0.1\n");
@@ -321,7 +321,7 @@
   EXPECT_EQ(Known(), std::vector<std::string>{});
 }
 
-TEST_F(LeaseRegistrationTest, ALineThatCantBeReadIsLeftOut) {
+TEST_F(LeaseRegistrationTest, AnInvalidLineIsSkipped) {
   const std::string unreadable("\x00\xff", 2);
   registration_->DidChangeFollowers(
       "big", unreadable + "\nsmall-1 n1 10.0.0.2:80 north - 0.1\nx");
--- a/tests/membership/membership_controller_test.cc
+++ b/tests/membership/membership_controller_test.cc
@@ -145,7 +145,7 @@
   EXPECT_TRUE(AllSeeLeaving("b-1")) << "it stays a member until it stops";
 }
 
-TEST_P(MembershipControllerTest, LaggingListMeansThePredecessor) {
+TEST_P(MembershipControllerTest, LaggingListDescribesThePreviousVm) {
   world_["b-1"].is_dead = true;
   world_.Add("b-1", "north", "b", 2);
   world_.listed["b-1"].address = "b-1:1";
@@ -173,7 +173,7 @@
   EXPECT_LE(world_.list_reads - before, kMaxReads);
 }
 
-TEST_P(MembershipControllerTest, FrozenVmLearnsFirstThatItWasTakenForDead) {
+TEST_P(MembershipControllerTest, FrozenVmRejoinsBeforeItDeclaresOthersGone) {
   Vm& frozen = world_["a-3"];
   frozen.is_frozen = true;
   ASSERT_LT(world_.Until(kOtherDomainsBound,
@@ -190,10 +190,10 @@
   });
   EXPECT_LT(back, kOwnDomainBound);
   EXPECT_TRUE(was_unsettled);
-  EXPECT_EQ(fewest, kVmCount) << "it found others gone on waking";
+  EXPECT_EQ(fewest, kVmCount) << "it declared others gone after the freeze";
 }
 
-TEST_P(MembershipControllerTest, ShortFreezeOfTheProberFindsNobodyGone) {
+TEST_P(MembershipControllerTest, ShortFreezeOfTheProberDeclaresNobodyGone) {
   for (int i = 0; i < 10; ++i) {
     world_["a-0"].is_frozen = true;
     world_.Advance(base::Milliseconds(600));
@@ -231,7 +231,7 @@
   EXPECT_TRUE(world_.AllAgree());
 }
 
-TEST_P(MembershipControllerTest, RegionsPartAndJoinAgain) {
+TEST_P(MembershipControllerTest, PartitionedRegionsMergeAgain) {
   world_.Cut("north", "south");
   EXPECT_LT(world_.Until(kSettled, [&] { return AllHave(10, 3); }), kSettled);
   world_.Advance(base::Milliseconds(60'000));
