--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -48,7 +48,7 @@
 // have registered, and well before it would register itself.
 base::Duration FirstWait(const settings::VmSettings& vm) {
   constexpr int kPercent = 70;
-  return membership::RegistrationWait({}, vm.processor_share) * kPercent / 100;
+  return membership::RegistrationDelay({}, vm.processor_share) * kPercent / 100;
 }
 
 std::vector<std::string> ParseAddresses(std::string text) {
@@ -221,7 +221,7 @@
   }
   auto entry = platform::DecodeLeaf(id, *event.value, clock_.Now());
   if (!entry.is_ok()) {
-    leaves_.DidSpoil(id, entry.error());
+    leaves_.DidInvalidate(id, entry.error());
     return;
   }
   blackboard::Upstream& leaf = entry.value().upstream;
--- a/src/membership/heartbeat_handling.cc
+++ b/src/membership/heartbeat_handling.cc
@@ -1,5 +1,5 @@
-// What a heartbeat brings: the part of MembershipCore that merges it and
-// replies.
+// The part of MembershipCore that merges received heartbeats and replies to
+// them.
 
 #include <algorithm>
 #include <chrono>
@@ -13,16 +13,18 @@
 
 using peer::wire::Heartbeat;
 
-// More changes than this at once come from a table. The others have tables too,
-// so they are not passed on: a newcomer would be busy with that for minutes.
+// A larger number of changes comes from a full table. Those are not passed on,
+// since the other daemons exchange tables as well: doing so would keep a newly
+// started daemon busy for minutes.
 constexpr std::size_t kMaxPassedOn = 16;
-// How often the records of one domain are asked for, and of how many at once:
-// that bounds what comparing tables may cost.
+// How often the records of one domain are requested, and for how many domains
+// at once. This bounds the cost of table comparisons.
 constexpr base::Duration kWantedInterval = base::Milliseconds(2000);
 constexpr std::size_t kMaxWantedDomains = 4;
-// Added to the age of what another daemon has heard. It is more than the news
-// took on its way; otherwise an age that is passed to and fro would shrink with
-// each hop, and a domain that can't be reached would in time seem to be heard.
+// Added to the ages that other daemons report, because they don't include the
+// time in transit. Without it, an age that is passed back and forth would
+// shrink with each hop, and an unreachable domain would eventually seem to have
+// been heard from.
 constexpr base::Duration kRelayAllowance = base::Milliseconds(250);
 
 }  // namespace
@@ -33,7 +35,7 @@
     return;
   }
   if (heartbeat.sender.name != sender.name) {
-    // The links' notice to an older incarnation has no record of its sender.
+    // The peer links' notice to an older incarnation has no sender record.
     MergeOthers(heartbeat);
     return;
   }
@@ -57,7 +59,8 @@
   const Record& record = heartbeat.sender;
   const MergeResult result = table_.Merge(record, clock_.Now());
   const Record* known = table_.Find(record.name);
-  // One that is taken for gone counts as heard once it has contradicted that.
+  // A sender that was declared gone counts as heard from only once it has
+  // refuted that.
   if (known != nullptr && IsPresent(*known) &&
       known->incarnation == record.incarnation) {
     detector_.DidHear(record.name);
@@ -67,11 +70,10 @@
   if (result == MergeResult::kRevisionChanged) {
     MarkChanged();
   }
-  if (result == MergeResult::kConfirmed ||
-      result == MergeResult::kStateChanged) {
+  if (result == MergeResult::kRefuted || result == MergeResult::kStateChanged) {
     MarkChanged();
     messenger_.AddRecent(record.name);
-    detector_.DidConfirm(record.name);
+    detector_.DidRefute(record.name);
   }
   if (result == MergeResult::kStateChanged) {
     PassOn({record}, is_own_domain(record.failure_domain));
@@ -80,12 +82,12 @@
 }
 
 void MembershipCore::DidHearDomain(const std::string& domain) {
-  if (is_own_domain(domain) || !watch_.DidHear(domain, clock_.Now())) {
+  if (is_own_domain(domain) || !reachability_.DidHear(domain, clock_.Now())) {
     return;
   }
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kMembership,
-              .message = "failure domain can be reached again: " + domain});
+              .message = "failure domain is reachable again: " + domain});
   MarkChanged();
   messenger_.SpreadInDomain({});
 }
@@ -94,9 +96,9 @@
   std::vector<Record> changed;
   for (const Record& record : heartbeat.others) {
     if (StateOf(record) == RecordState::kSuspected) {
-      detector_.DidAsk(record, heartbeat.sender.name);
+      detector_.DidRequestProbe(record, heartbeat.sender.name);
     }
-    MergeOne(record, heartbeat.sender.name, changed);
+    MergeRecord(record, heartbeat.sender.name, changed);
     if (!is_running_) {
       return;
     }
@@ -114,9 +116,9 @@
   PassOn(changed, is_own_domain(heartbeat.sender.failure_domain));
 }
 
-void MembershipCore::MergeOne(const Record& record,
-                              const std::string& from,
-                              std::vector<Record>& changed) {
+void MembershipCore::MergeRecord(const Record& record,
+                                 const std::string& from,
+                                 std::vector<Record>& changed) {
   switch (table_.Merge(record, clock_.Now())) {
     case MergeResult::kUnchanged:
     case MergeResult::kOutdated:
@@ -124,10 +126,10 @@
     case MergeResult::kRevisionChanged:
       MarkChanged();
       return;
-    case MergeResult::kConfirmed:
+    case MergeResult::kRefuted:
       prober_.DidHear(record.name);
       DidHearDomain(record.failure_domain);
-      detector_.DidConfirm(record.name);
+      detector_.DidRefute(record.name);
       messenger_.AddRecent(record.name);
       return;
     case MergeResult::kStateChanged:
@@ -137,20 +139,21 @@
         return;
       }
       if (IsPresent(record)) {
-        detector_.DidConfirm(record.name);
+        detector_.DidRefute(record.name);
       }
       changed.push_back(*table_.Find(record.name));
       return;
-    case MergeResult::kSelfContradicted:
-      // Whoever doubts hears it at once, the others in the next round.
+    case MergeResult::kSelfRefuted:
+      // The daemon that suspects this one is told at once, the others in the
+      // next round.
       is_announcement_due_ =
           is_announcement_due_ || StateOf(record) == RecordState::kGone;
       if (!from.empty() && from != settings_.name) {
-        messenger_.Send(from, messenger_.Compose(HeartbeatKind::kNews));
+        messenger_.Send(from, messenger_.Compose(HeartbeatKind::kUpdate));
       }
       return;
     case MergeResult::kSelfReplaced:
-      StepAside(record.incarnation);
+      HandleReplacement(record.incarnation);
       return;
   }
 }
@@ -171,18 +174,18 @@
 }
 
 void MembershipCore::MergeDraining(const Heartbeat& heartbeat) {
-  bool is_news = false;
+  bool has_new_notice = false;
   for (const auto& [upstream, age_ms] : heartbeat.draining_upstreams) {
     const base::Duration age = base::Milliseconds(age_ms);
-    if (!news_.Add(upstream, age, clock_.Now())) {
+    if (!notices_.Add(upstream, age, clock_.Now())) {
       continue;
     }
-    is_news = true;
+    has_new_notice = true;
     if (callbacks_.did_hear_draining) {
       callbacks_.did_hear_draining(upstream, age);
     }
   }
-  if (is_news && !is_own_domain(heartbeat.sender.failure_domain)) {
+  if (has_new_notice && !is_own_domain(heartbeat.sender.failure_domain)) {
     messenger_.SpreadInDomain({});
   }
 }
@@ -194,10 +197,12 @@
   }
   const auto delegates =
       table_.DelegatesOf(settings_.failure_domain, settings_.delegates);
-  const bool is_heeded = KindOf(heartbeat) == HeartbeatKind::kTable ||
-                         std::find(delegates.begin(), delegates.end(),
-                                   heartbeat.sender.name) != delegates.end();
-  if (is_heeded && watch_.SetUnreachable(heartbeat.unreachable_domains)) {
+  const bool is_authoritative =
+      KindOf(heartbeat) == HeartbeatKind::kTable ||
+      std::find(delegates.begin(), delegates.end(), heartbeat.sender.name) !=
+          delegates.end();
+  if (is_authoritative &&
+      reachability_.SetUnreachable(heartbeat.unreachable_domains)) {
     MarkChanged();
   }
 }
@@ -215,7 +220,7 @@
   if (wanted.empty()) {
     return;
   }
-  Heartbeat request = messenger_.Compose(HeartbeatKind::kNews);
+  Heartbeat request = messenger_.Compose(HeartbeatKind::kUpdate);
   request.wanted_domains = std::move(wanted);
   messenger_.Send(heartbeat.sender.name, std::move(request));
 }
@@ -229,13 +234,13 @@
   const base::MonotonicTime now = clock_.Now();
   const base::Duration age =
       base::Milliseconds(summary.age_ms) + kRelayAllowance;
-  if (is_from_domain || age < watch_.AgeOf(domain, now)) {
+  if (is_from_domain || age < reachability_.AgeOf(domain, now)) {
     if (messenger_.LowestRevisionOf(domain) != summary.lowest_revision) {
-      messenger_.NoteLowestRevision(domain, summary.lowest_revision);
+      messenger_.SetLowestRevision(domain, summary.lowest_revision);
       MarkChanged();
     }
   }
-  if (watch_.DidHear(domain, now - age)) {
+  if (reachability_.DidHear(domain, now - age)) {
     MarkChanged();
   }
 }
@@ -278,7 +283,8 @@
   if (!is_probe && !is_outdated && heartbeat.wanted_domains.empty()) {
     return;
   }
-  // A table from a daemon that knows no better than the asker settles nothing.
+  // A daemon that is not settled itself sends no table: it may know no more
+  // than the requester.
   const bool is_table = heartbeat.wants_table && is_settled_;
   Heartbeat reply = messenger_.ComposeWithRecent(
       is_table ? HeartbeatKind::kTable : HeartbeatKind::kAnswer);
--- a/src/membership/lease_registration.cc
+++ b/src/membership/lease_registration.cc
@@ -1,4 +1,4 @@
-// Lease, entry, followers, renewals.
+// Implementation of membership::LeaseRegistration.
 
 #include "src/membership/lease_registration.h"
 
@@ -11,22 +11,22 @@
 
 namespace {
 
-// Each call is paid for; a registration may come seconds late.
-constexpr base::Duration kRetry = base::Milliseconds(2'000);
-// How often a daemon that is not registered looks whether it should be.
-constexpr base::Duration kConsiderInterval = base::Milliseconds(1'000);
-// A daemon with less than this part of another one's processor follows it.
-constexpr double kWeakPart = 0.5;
-// A daemon that says it has less than this part of a core comes no later.
-constexpr double kLeastShare = 0.1;
+// Store calls cost money, and a registration may be seconds late.
+constexpr base::Duration kRetryDelay = base::Milliseconds(2'000);
+// How often an unregistered daemon checks whether it should register.
+constexpr base::Duration kRegistrationCheckInterval = base::Milliseconds(1'000);
+// A daemon with less than this fraction of another one's cores follows it.
+constexpr double kSmallVmRatio = 0.5;
+// Lower bound of the number of cores in the registration delay.
+constexpr double kMinShare = 0.1;
 
 }  // namespace
 
-base::Duration RegistrationWait(const LeaseRegistrationSettings& settings,
-                                double processor_share) {
-  const double share = std::max(kLeastShare, processor_share);
+base::Duration RegistrationDelay(const LeaseRegistrationSettings& settings,
+                                 double processor_share) {
+  const double share = std::max(kMinShare, processor_share);
   return base::Duration(static_cast<std::int64_t>(
-      static_cast<double>(settings.pace.count()) / share));
+      static_cast<double>(settings.base_delay.count()) / share));
 }
 
 LeaseRegistration::LeaseRegistration(
@@ -53,9 +53,9 @@
 
 void LeaseRegistration::Start() {
   Publish();
-  Again(RegistrationWait(settings_, self_.processor_share),
-        &LeaseRegistration::ConsiderRegistering);
-  Again(settings_.list_interval, &LeaseRegistration::WriteFollowers);
+  RunAfter(RegistrationDelay(settings_, self_.processor_share),
+           &LeaseRegistration::RegisterIfNeeded);
+  RunAfter(settings_.list_interval, &LeaseRegistration::WriteFollowers);
 }
 
 void LeaseRegistration::Stop() {
@@ -77,7 +77,7 @@
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kMembership,
                 .message = "the entry of daemon " + name +
-                           " can't be read; it counts as gone"});
+                           " is invalid; the daemon counts as gone"});
   }
   registered_.erase(name);
 }
@@ -86,8 +86,8 @@
     const std::string& reader,
     const std::optional<std::string>& value) {
   if (!value) {
-    forget_at_[reader] = clock_.Now() + settings_.unlisted_kept;
-    control_.After(settings_.unlisted_kept,
+    forget_at_[reader] = clock_.Now() + settings_.removed_list_retention;
+    control_.After(settings_.removed_list_retention,
                    [self = shared_from_this(), reader] {
                      if (!self->is_stopped_) {
                        self->ForgetList(reader);
@@ -99,7 +99,7 @@
   forget_at_.erase(reader);
   std::vector<blackboard::Member> members = DecodeFollowers(*value);
   if (reader == self_.name) {
-    followers_.DidReadOwn(members, clock_.Now());
+    followers_.DidReadStored(members, clock_.Now());
   }
   Members& list = lists_[reader];
   list.clear();
@@ -122,9 +122,9 @@
 
 void LeaseRegistration::DidHearFollower(const std::string& entry) {
   const auto member = DecodeNamedEntry(entry);
-  // NOTE: one of another failure domain asks here because its own readers are
-  // away. Were it listed, a list would hold the whole fleet, and each change of
-  // it would go to the whole fleet.
+  // NOTE: a daemon of another failure domain asks here only because its own
+  // readers are unavailable. If it were listed, a list could grow to the whole
+  // fleet, and each of its changes would be sent to the whole fleet.
   const bool is_listed_here = member && member->name != self_.name &&
                               member->failure_domain == self_.failure_domain;
   if (is_listed_here) {
@@ -133,7 +133,7 @@
 }
 
 void LeaseRegistration::WriteFollowers() {
-  Again(settings_.list_interval, &LeaseRegistration::WriteFollowers);
+  RunAfter(settings_.list_interval, &LeaseRegistration::WriteFollowers);
   if (lease_ == 0) {
     return;
   }
@@ -149,8 +149,9 @@
               [self = shared_from_this(), list,
                lease = lease_](const base::Status& status) {
                 if (!status.is_ok()) {
-                  self->log_.DidFail(status.error(),
-                                     "the followers are not listed yet");
+                  self->log_.DidFail(
+                      status.error(),
+                      "the list of followers was not written; retrying");
                 } else if (lease == self->lease_) {
                   self->written_followers_ = list;
                 }
@@ -173,18 +174,18 @@
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kMembership,
               .message = std::to_string(view.members.size()) +
-                         " daemons are known, " +
+                         " known daemons, " +
                          std::to_string(registered_.size()) +
-                         " others registered themselves"});
+                         " of them registered, without this one"});
   blackboard_.membership.Write(std::move(view));
 }
 
-bool LeaseRegistration::is_weak() const {
+bool LeaseRegistration::is_on_small_vm() const {
   return std::any_of(
       registered_.begin(), registered_.end(), [this](const auto& row) {
         const blackboard::Member& other = row.second;
         return other.failure_domain == self_.failure_domain &&
-               self_.processor_share < kWeakPart * other.processor_share;
+               self_.processor_share < kSmallVmRatio * other.processor_share;
       });
 }
 
@@ -194,7 +195,7 @@
   });
 }
 
-void LeaseRegistration::ConsiderRegistering() {
+void LeaseRegistration::RegisterIfNeeded() {
   const base::MonotonicTime now = clock_.Now();
   if (is_listed()) {
     unlisted_since_ = {};
@@ -203,15 +204,17 @@
   }
   const bool waits_for_list =
       unlisted_since_ == base::MonotonicTime{} ||
-      (is_weak() && now - unlisted_since_ < settings_.listing_patience);
+      (is_on_small_vm() && now - unlisted_since_ < settings_.listing_timeout);
   if (waits_for_list) {
-    Again(kConsiderInterval, &LeaseRegistration::ConsiderRegistering);
+    RunAfter(kRegistrationCheckInterval, &LeaseRegistration::RegisterIfNeeded);
     return;
   }
-  log_.Write({.level = base::LogLevel::kInfo,
-              .step = base::Step::kMembership,
-              .message = is_weak() ? "no reader lists this daemon; registering"
-                                   : "registering"});
+  log_.Write(
+      {.level = base::LogLevel::kInfo,
+       .step = base::Step::kMembership,
+       .message = is_on_small_vm()
+                      ? "no reader lists this daemon as a follower; registering"
+                      : "registering"});
   Register();
 }
 
@@ -230,7 +233,7 @@
   }
   if (!lease.is_ok()) {
     log_.DidFail(lease.error(), "this daemon is not registered yet");
-    Again(kRetry, &LeaseRegistration::Register);
+    RunAfter(kRetryDelay, &LeaseRegistration::Register);
     return;
   }
   lease_ = lease.value().id;
@@ -240,7 +243,7 @@
                 if (!status.is_ok()) {
                   self->log_.DidFail(status.error(),
                                      "this daemon is not registered yet");
-                  self->Again(kRetry, &LeaseRegistration::Register);
+                  self->RunAfter(kRetryDelay, &LeaseRegistration::Register);
                   return;
                 }
                 self->renewed_ = self->clock_.Now();
@@ -248,22 +251,23 @@
               });
 }
 
-// The interval is looked at again each second, since the daemon may become a
-// reader meanwhile.
+// The interval is checked again each second, since the daemon may become a
+// reader in the meantime.
 void LeaseRegistration::RenewLater() {
-  Again(settings_.reader_renewal, &LeaseRegistration::Renew);
+  RunAfter(settings_.reader_renewal_interval, &LeaseRegistration::Renew);
 }
 
 void LeaseRegistration::Renew() {
   if (must_register_) {
     log_.Write({.level = base::LogLevel::kInfo,
                 .step = base::Step::kMembership,
-                .message = "registering again in the restored store"});
+                .message = "the store was restored; registering again"});
     Register();
     return;
   }
-  const base::Duration interval =
-      is_reading_store_() ? settings_.reader_renewal : settings_.renewal;
+  const base::Duration interval = is_reading_store_()
+                                      ? settings_.reader_renewal_interval
+                                      : settings_.renewal_interval;
   if (clock_.Now() - renewed_ < interval) {
     RenewLater();
     return;
@@ -274,8 +278,9 @@
     const bool has_ended =
         !status.is_ok() && status.error().code == base::ErrorCode::kNotFound;
     if (has_ended) {
-      self->log_.DidFail(status.error(), "registering again");
-      self->Again(base::Duration{}, &LeaseRegistration::Register);
+      self->log_.DidFail(status.error(),
+                         "the lease has ended; registering again");
+      self->RunAfter(base::Duration{}, &LeaseRegistration::Register);
       return;
     }
     self->did_renew_(status);
@@ -283,8 +288,8 @@
   });
 }
 
-void LeaseRegistration::Again(base::Duration delay,
-                              void (LeaseRegistration::*step)()) {
+void LeaseRegistration::RunAfter(base::Duration delay,
+                                 void (LeaseRegistration::*step)()) {
   control_.After(delay, [self = shared_from_this(), step] {
     if (!self->is_stopped_) {
       (self.get()->*step)();
--- a/src/membership/membership_core.cc
+++ b/src/membership/membership_core.cc
@@ -1,5 +1,5 @@
-// Start, rounds, waking and the view. What a heartbeat brings is in
-// heartbeat_handling.cc.
+// Start, rounds, recovery from a freeze, and the view. heartbeat_handling.cc
+// has the handling of received heartbeats.
 
 #include "src/membership/membership_core.h"
 
@@ -13,14 +13,16 @@
 
 namespace {
 
-// Rounds are spread by up to this share, so that daemons don't keep step.
+// Random variation of the time between rounds, as a share of it, so that the
+// daemons' rounds don't synchronize.
 constexpr double kRoundJitter = 0.2;
-// How long changes are gathered before the view is written: a view is copied
-// whole.
+// How long changes are collected before the view is written, since each write
+// copies the whole view.
 constexpr base::Duration kPublishDelay = base::Milliseconds(20);
 constexpr std::size_t kMaxDrainingPassedOn = 32;
-// A table from another domain is asked for after this share of the time.
-constexpr int kOwnDomainShare = 3;
+// A table from another domain is requested only once the settle timeout divided
+// by this has passed.
+constexpr int kOwnDomainDivisor = 3;
 
 Record MakeSelf(const MembershipSettings& settings) {
   Record self;
@@ -51,18 +53,24 @@
       callbacks_(std::move(callbacks)),
       log_(log),
       table_(MakeSelf(settings)),
-      watch_(settings.domain_grace),
-      news_(settings.draining_lifetime, kMaxDrainingPassedOn),
+      reachability_(settings.domain_grace),
+      notices_(settings.draining_lifetime, kMaxDrainingPassedOn),
       messenger_(settings_,
                  clock,
                  random,
                  port,
                  table_,
-                 watch_,
-                 news_,
+                 reachability_,
+                 notices_,
                  [this](const std::string&) { PublishIfChanged(); }),
       detector_(settings_, clock, random, log, table_, messenger_),
-      prober_(settings_, clock, random, table_, watch_, messenger_, detector_),
+      prober_(settings_,
+              clock,
+              random,
+              table_,
+              reachability_,
+              messenger_,
+              detector_),
       list_(std::make_shared<VmList>(settings.name,
                                      settings.address,
                                      settings.list_timeout,
@@ -89,7 +97,7 @@
   }
   round_timer_.Cancel();
   list_->Close();
-  // Its last word saves the others the time to find out.
+  // Announces the end, so that the others need not detect it.
   table_.SetSelfState(RecordState::kGone);
   Announce();
 }
@@ -104,7 +112,7 @@
 }
 
 void MembershipCore::NoteDrainingUpstream(const std::string& name) {
-  if (!is_running_ || !news_.Add(name, base::Duration(0), clock_.Now())) {
+  if (!is_running_ || !notices_.Add(name, base::Duration(0), clock_.Now())) {
     return;
   }
   messenger_.SpreadInDomain({});
@@ -118,27 +126,27 @@
   round_timer_ =
       control_.After(base::Duration(delay), [self = shared_from_this()] {
         if (self->is_running_) {
-          self->DidStartRound();
+          self->RunRound();
           self->ScheduleRound();
         }
       });
 }
 
-void MembershipCore::DidStartRound() {
+void MembershipCore::RunRound() {
   const base::MonotonicTime now = clock_.Now();
-  NoticeDelay(now);
+  DetectDelay(now);
   RefreshTargets();
   ReadListIfDue();
   if (!is_settled_) {
     AskForTable();
   } else {
-    if (detector_.Judge()) {
+    if (detector_.CheckTimeouts()) {
       MarkChanged();
     }
     detector_.ProbeNext(settings_.probes_per_round);
     RunDelegateDuties();
     SendSummaries();
-    TryAbsent();
+    ProbeAbsent();
     if (is_announcement_due_) {
       Announce();
     }
@@ -147,20 +155,22 @@
   PublishIfChanged();
 }
 
-void MembershipCore::NoticeDelay(base::MonotonicTime now) {
+void MembershipCore::DetectDelay(base::MonotonicTime now) {
   const base::Duration gap = now - std::exchange(last_round_, now);
-  if (gap > settings_.wake_gap) {
-    DidWake();
+  if (gap > settings_.freeze_threshold) {
+    DidResume();
   } else if (gap > 2 * settings_.round) {
     detector_.Postpone(gap - settings_.round);
     prober_.Postpone(gap - settings_.round);
   }
 }
 
-void MembershipCore::DidWake() {
-  log_.Write({.level = base::LogLevel::kWarning,
-              .step = base::Step::kMembership,
-              .message = "was frozen: asks its peers before it goes on"});
+void MembershipCore::DidResume() {
+  log_.Write(
+      {.level = base::LogLevel::kWarning,
+       .step = base::Step::kMembership,
+       .message =
+           "this VM was frozen; asking peers for the current membership"});
   is_settled_ = false;
   settling_since_ = clock_.Now();
   detector_.Clear();
@@ -181,15 +191,15 @@
   if (!is_settled_) {
     return;
   }
-  // The delegates carry it to the other domains; within the own one the rounds
-  // are fast enough.
+  // The delegates pass the revision on to the other domains. Within this one
+  // the regular rounds are fast enough.
   if (messenger_.IsDelegate()) {
     messenger_.SpreadToDomains({});
     return;
   }
   for (const std::string& name :
        table_.DelegatesOf(settings_.failure_domain, settings_.delegates)) {
-    messenger_.Send(name, messenger_.Compose(HeartbeatKind::kNews));
+    messenger_.Send(name, messenger_.Compose(HeartbeatKind::kUpdate));
   }
 }
 
@@ -198,10 +208,10 @@
     prober_.Clear();
     return;
   }
-  if (prober_.DidStartRound()) {
+  if (prober_.RunRound()) {
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kMembership,
-                .message = "a failure domain can't be reached"});
+                .message = "a failure domain has become unreachable"});
     MarkChanged();
     messenger_.SpreadInDomain({});
   }
@@ -214,12 +224,13 @@
   next_summary_ = clock_.Now() + settings_.summary_interval;
   std::vector<std::string> receivers;
   if (messenger_.IsDelegate()) {
-    // One of the others at a time: they watch the same domains.
-    auto fellows =
+    // One other delegate at a time is enough, since all probe the same domains.
+    auto other_delegates =
         table_.DelegatesOf(settings_.failure_domain, settings_.delegates);
-    std::erase(fellows, settings_.name);
-    if (!fellows.empty()) {
-      receivers.push_back(fellows[random_.Below(fellows.size())]);
+    std::erase(other_delegates, settings_.name);
+    if (!other_delegates.empty()) {
+      receivers.push_back(
+          other_delegates[random_.Below(other_delegates.size())]);
     }
   }
   const auto present = table_.PresentIn(settings_.failure_domain);
@@ -232,16 +243,16 @@
   if (receivers.empty()) {
     return;
   }
-  peer::wire::Heartbeat heartbeat = messenger_.Compose(HeartbeatKind::kNews);
+  peer::wire::Heartbeat heartbeat = messenger_.Compose(HeartbeatKind::kUpdate);
   heartbeat.domains = messenger_.SummarizeAll();
   for (const std::string& name : receivers) {
     messenger_.Send(name, heartbeat);
   }
 }
 
-// Daemons of the own domain that are gone, or listed and never heard, are tried
-// now and then: they may only have been cut off.
-void MembershipCore::TryAbsent() {
+// Occasionally probes a daemon of this domain that is gone, or listed and never
+// heard from, since it may only have been cut off.
+void MembershipCore::ProbeAbsent() {
   if (clock_.Now() < next_absent_) {
     return;
   }
@@ -253,12 +264,12 @@
     }
   }
   if (!absent.empty()) {
-    detector_.TryAbsent(absent[random_.Below(absent.size())]);
+    detector_.ProbeAbsent(absent[random_.Below(absent.size())]);
   }
 }
 
-// A few daemons of each domain read the list; the others hear from them. One
-// that knows nobody reads it too.
+// Only the delegates of each domain read the list and pass it on, and so does a
+// daemon that knows no other in its domain.
 void MembershipCore::ReadListIfDue() {
   if (clock_.Now() < next_list_) {
     return;
@@ -279,14 +290,14 @@
   std::vector<Record> changed;
   for (const auto& [name, vm] : list_->others()) {
     const Record* known = table_.Find(name);
-    // The list may still mean a VM that another has replaced.
+    // The list may still describe a VM that has been replaced by another one.
     if (!vm.is_leaving || known == nullptr || known->address != vm.address ||
         StateOf(*known) != RecordState::kLive) {
       continue;
     }
     Record leaving = *known;
     SetState(leaving, RecordState::kLeaving);
-    MergeOne(leaving, settings_.name, changed);
+    MergeRecord(leaving, settings_.name, changed);
   }
   if (list_->is_self_leaving() &&
       StateOf(table_.self()) == RecordState::kLive) {
@@ -327,7 +338,7 @@
     return;
   }
   const bool is_far_due =
-      near.empty() || waited * kOwnDomainShare >= settings_.settle_timeout;
+      near.empty() || waited * kOwnDomainDivisor >= settings_.settle_timeout;
   for (auto* names : {&near, &far}) {
     if (names->empty() || (names == &far && !is_far_due)) {
       continue;
@@ -352,12 +363,14 @@
   messenger_.SpreadToDomains({});
 }
 
-void MembershipCore::StepAside(std::int64_t newer_incarnation) {
-  log_.Write({.level = base::LogLevel::kError,
-              .step = base::Step::kMembership,
-              .peer = settings_.name,
-              .message = "a newer incarnation runs under this name: " +
-                         std::to_string(newer_incarnation)});
+void MembershipCore::HandleReplacement(std::int64_t newer_incarnation) {
+  log_.Write(
+      {.level = base::LogLevel::kError,
+       .step = base::Step::kMembership,
+       .peer = settings_.name,
+       .message =
+           "a newer incarnation runs under this name, membership ends here: " +
+           std::to_string(newer_incarnation)});
   is_running_ = false;
   is_settled_ = false;
   round_timer_.Cancel();
@@ -365,8 +378,8 @@
   table_.SetSelfState(RecordState::kLeaving);
   has_changed_ = true;
   PublishIfChanged();
-  if (callbacks_.did_step_aside) {
-    callbacks_.did_step_aside(newer_incarnation);
+  if (callbacks_.did_get_replaced) {
+    callbacks_.did_get_replaced(newer_incarnation);
   }
 }
 
@@ -386,7 +399,7 @@
     return;
   }
   blackboard_.membership.Write(
-      ComposeView(table_, watch_, messenger_, *list_, is_settled_));
+      ComposeView(table_, reachability_, messenger_, *list_, is_settled_));
 }
 
 }  // namespace medlarspread::membership
--- a/src/membership/view.cc
+++ b/src/membership/view.cc
@@ -1,4 +1,4 @@
-// Sorts records into members and absent daemons.
+// Divides the known daemons into members and absent ones.
 
 #include "src/membership/view.h"
 
@@ -21,7 +21,7 @@
 }  // namespace
 
 blackboard::MembershipView ComposeView(const MemberTable& table,
-                                       const DomainWatch& watch,
+                                       const DomainReachability& reachability,
                                        const Messenger& messenger,
                                        const VmList& list,
                                        bool is_settled) {
@@ -33,15 +33,16 @@
     const bool is_own_domain =
         record.failure_domain == table.self().failure_domain;
     if (!is_own_domain) {
-      // Of the daemons elsewhere only the lowest revision of each domain is
-      // passed on: it is what decides whether a revision is in force there.
+      // Daemons report the targets revision of other domains only as the
+      // domain's lowest, which is what decides whether a revision is active
+      // there.
       member.targets_revision =
           messenger.LowestRevisionOf(record.failure_domain);
     }
     const bool is_member =
         record.name == view.self ||
         (IsPresent(record) &&
-         (is_own_domain || watch.IsReachable(record.failure_domain)));
+         (is_own_domain || reachability.IsReachable(record.failure_domain)));
     (is_member ? view.members : view.absent)[record.name] = std::move(member);
   });
   for (const auto& [name, vm] : list.others()) {
--- a/src/platform/caller_codec.cc
+++ b/src/platform/caller_codec.cc
@@ -1,4 +1,4 @@
-// Requests in, answers out.
+// Decoding of callers' requests and encoding of their answers.
 
 #include "src/platform/caller_codec.h"
 
@@ -47,19 +47,19 @@
   return response;
 }
 
-Response EncodePassedOn(query::PassedOn passed) {
+Response EncodeLeafResponse(query::PassedOn passed) {
   Response response = std::move(passed.message);
   http1::RemoveConnectionFields(response);
   response.version(kHttpVersion);
-  // NOTE: the length stays as the leaf gave it, which matters for HEAD, where
-  // it comes without a body.
+  // NOTE: the leaf's Content-Length is kept. This matters for HEAD, where the
+  // response has a length and no body.
   if (response.find(http::field::content_length) == response.end()) {
     response.content_length(response.body().size());
   }
   return response;
 }
 
-Response EncodeGathered(const query::Gathered& gathered) {
+Response EncodeMergedRecords(const query::Gathered& gathered) {
   Response response(Status::ok, kHttpVersion);
   std::string proofs;
   for (const std::string& proof : gathered.proofs) {
@@ -97,7 +97,7 @@
   if (incoming.request_id.empty() || incoming.host.empty()) {
     return base::MakeError(base::ErrorCode::kInvalidArgument,
                            base::Step::kParse, "",
-                           "no request identifier or host");
+                           "the request identifier or host is missing");
   }
   incoming.deadline = DecodeDeadline(request);
   http1::RemoveConnectionFields(request);
@@ -110,9 +110,11 @@
   return std::visit(
       base::Overloaded{
           [](query::PassedOn& passed) {
-            return EncodePassedOn(std::move(passed));
+            return EncodeLeafResponse(std::move(passed));
+          },
+          [](query::Gathered& gathered) {
+            return EncodeMergedRecords(gathered);
           },
-          [](query::Gathered& gathered) { return EncodeGathered(gathered); },
           [](query::NoRoute&) { return MakePlain(Status::not_found); },
           [](query::Refused& refused) { return EncodeRefused(refused); },
           [](query::Unknown& unknown) { return EncodeUnknown(unknown); }},
--- a/src/platform/configuration_decoder.cc
+++ b/src/platform/configuration_decoder.cc
@@ -1,4 +1,4 @@
-// JSON to the blackboard's types.
+// Conversion of JSON to the blackboard's types.
 
 #include "src/platform/configuration_decoder.h"
 
@@ -25,17 +25,17 @@
 using store::ReadString;
 using web::json::value;
 
-// A leaf that is cold for less time than this is at its speed before a request
-// could tell the difference.
+// A leaf that stays cold for less time than this reaches full speed before a
+// request could notice the difference.
 constexpr double kNegligibleColdMs = 300.0;
-// No leaf works on so many requests at once; a larger number is not a leaf's.
-constexpr std::int64_t kMostSlots = 1'000'000;
-// Longer times than a year are no timeouts; they would not fit the clock.
-constexpr double kLongestMs = 365.0 * 24 * 3600 * 1000;
-constexpr std::int64_t kMostRecords = 1'000'000'000;
-constexpr std::int64_t kLeastUrgent = 1'000'000;
-constexpr std::int64_t kMostAttempts = 1'000;
-constexpr std::int64_t kMostConnections = 1'000'000;
+// No leaf processes more requests at once; larger numbers are invalid.
+constexpr std::int64_t kMaxSlots = 1'000'000;
+// One year. Longer times are invalid as timeouts and would overflow the clock.
+constexpr double kMaxDurationMs = 365.0 * 24 * 3600 * 1000;
+constexpr std::int64_t kMaxRecords = 1'000'000'000;
+constexpr std::int64_t kLowestPriority = 1'000'000;
+constexpr std::int64_t kMaxAttempts = 1'000;
+constexpr std::int64_t kMaxConnections = 1'000'000;
 
 base::Error Malformed(const std::string& what) {
   return base::MakeError(base::ErrorCode::kMalformed, base::Step::kTargets, "",
@@ -45,7 +45,7 @@
 std::optional<base::Duration> ReadMilliseconds(const value& object,
                                                const char* field) {
   const auto number = ReadNumber(object, field);
-  if (!number || *number < 0.0 || *number > kLongestMs) {
+  if (!number || *number < 0.0 || *number > kMaxDurationMs) {
     return std::nullopt;
   }
   constexpr double kMicrosecondsPerMillisecond = 1000.0;
@@ -76,7 +76,7 @@
     all.shards.push_back(shard.as_string());
   }
   const auto most = ReadInteger(route, "top_k");
-  if (!most || *most < 0 || *most > kMostRecords || all.shards.empty()) {
+  if (!most || *most < 0 || *most > kMaxRecords || all.shards.empty()) {
     return std::nullopt;
   }
   all.most_records = static_cast<std::size_t>(*most);
@@ -114,10 +114,10 @@
   route->destination = *destination;
   route->is_idempotent = ReadString(row, "kind") == "idempotent";
   route->priority = static_cast<int>(std::clamp<std::int64_t>(
-      ReadInteger(row, "priority").value_or(0), 0, kLeastUrgent));
+      ReadInteger(row, "priority").value_or(0), 0, kLowestPriority));
   route->timeout = *timeout;
   route->most_attempts = static_cast<int>(std::clamp<std::int64_t>(
-      ReadInteger(row, "attempts").value_or(1), 1, kMostAttempts));
+      ReadInteger(row, "attempts").value_or(1), 1, kMaxAttempts));
   return route;
 }
 
@@ -146,7 +146,8 @@
   return std::nullopt;
 }
 
-// Zero if the leaf does not tell; absent if what it tells is no time.
+// Zero if the leaf does not report its start; absent if the reported value is
+// invalid.
 std::optional<std::int64_t> DecodeStart(const value& object) {
   if (!store::HasField(object, "born")) {
     return 0;
@@ -160,7 +161,7 @@
 base::Result<RoutesView> DecodeConfiguration(const std::string& text) {
   const auto object = store::ParseObject(text);
   if (!object) {
-    return Malformed("the configuration is no JSON object");
+    return Malformed("the configuration is not a JSON object");
   }
   const auto version = ReadInteger(*object, "version");
   const value* routes = FindArray(*object, "routes");
@@ -173,7 +174,7 @@
     auto route = DecodeRoute(row);
     if (!route) {
       return Malformed("a route of revision " + std::to_string(*version) +
-                       " lacks a field or has an odd one");
+                       " has a missing or invalid field");
     }
     view.routes.push_back(std::move(route));
   }
@@ -183,7 +184,7 @@
       const auto connections = ReadInteger(row, "max_conns");
       if (name && connections && *connections > 0) {
         view.connections[*name] =
-            static_cast<int>(std::min(kMostConnections, *connections));
+            static_cast<int>(std::min(kMaxConnections, *connections));
       }
     }
   }
@@ -198,7 +199,7 @@
                                              base::MonotonicTime now) {
   const auto object = store::ParseObject(text);
   if (!object) {
-    return Malformed("the entry of leaf " + id + " is no JSON object");
+    return Malformed("the entry of leaf " + id + " is not a JSON object");
   }
   const auto service = ReadString(*object, "service");
   const auto address = ReadString(*object, "addr");
@@ -208,12 +209,13 @@
   const auto cold_ms = ReadNumber(*object, "warmup_left_ms");
   const auto sequence = ReadInteger(*object, "seq");
   if (!service || !zone || !version || !slots || !cold_ms || !sequence) {
-    return Malformed("the entry of leaf " + id + " lacks a field");
+    return Malformed("the entry of leaf " + id +
+                     " has a missing or invalid field");
   }
   if (!address || !http1::ParseEndpoint(*address).is_ok()) {
-    return Malformed("the entry of leaf " + id + " names no address");
+    return Malformed("the entry of leaf " + id + " has no valid address");
   }
-  if (service->empty() || *slots < 1 || *slots > kMostSlots || *cold_ms < 0.0) {
+  if (service->empty() || *slots < 1 || *slots > kMaxSlots || *cold_ms < 0.0) {
     return Malformed("the entry of leaf " + id + " has a field out of range");
   }
   const auto state = DecodeState(ReadString(*object, "state").value_or(""));
@@ -222,14 +224,14 @@
   }
   const auto started = DecodeStart(*object);
   if (!started) {
-    return Malformed("the entry of leaf " + id + " has no whole start time");
+    return Malformed("the entry of leaf " + id + " has an invalid start time");
   }
   upstream::LeafEntry entry;
   entry.started_wall_ms = *started;
   entry.sequence = *sequence;
   blackboard::Upstream& leaf = entry.upstream;
   leaf.id = id;
-  leaf.name = upstream::NameOfStart(id, *started);
+  leaf.name = upstream::MakeLeafName(id, *started);
   leaf.address = *address;
   leaf.failure_domain = *zone;
   leaf.collection = *service;
--- a/src/upstream/forward_client.cc
+++ b/src/upstream/forward_client.cc
@@ -1,4 +1,5 @@
-// The connections to each leaf and the calls on them.
+// Implementation of upstream::ForwardClient: the connections to each leaf and
+// the calls on them.
 
 #include "src/upstream/forward_client.h"
 
@@ -17,27 +18,28 @@
 using base::Step;
 using http1::ClientConnection;
 
-// A connection that does not open within this time belongs to a leaf that is
-// down or cut off. It stays below the time for which a leaf that drains may
-// still be sent to.
+// If a connection does not open within this time, the leaf is down or cut off.
+// Must be below the time for which a draining leaf may still receive requests.
 constexpr base::Duration kConnectTimeout = base::Milliseconds(900);
-// How long a leaf's host may leave bytes unacknowledged.
-constexpr base::Duration kSilence = base::Milliseconds(2'000);
-// How long the reply of a leaf that lost the race for an answer is waited for.
-// A reply shows that the leaf is back and keeps the connection; a pause of the
-// leaves lasts 120 to 200 ms.
+// How long a leaf's host may leave sent bytes unacknowledged.
+constexpr base::Duration kAckTimeout = base::Milliseconds(2'000);
+// How long to wait for the reply of a leaf after another one has answered. A
+// reply shows that the leaf is responsive again and keeps the connection
+// usable; pauses of leaves last 120 to 200 ms.
 constexpr base::Duration kLinger = base::Milliseconds(250);
-// A connection that was not needed for this time is closed, unless it is the
-// leaf's last. Pauses of a leaf make a daemon open some more, and where all
-// daemons lose power the leaves hold on to every connection of the dead ones
-// for seconds: what is open beyond the need of the moment is missing for the
-// daemons that come back. Where there are more daemons than places at a leaf,
-// the last one is closed too: had each of 195 daemons kept one to a leaf that
-// accepts 125, those that need one would be turned away. With it 215
-// connections of such a restart were reset for want of a place in place of 882
-// (8 daemons, 30 leaves of 31 connections each).
-constexpr base::Duration kSpareIdle = base::Milliseconds(1'000);
-// After this time without a reply beyond the caller's deadline the call ends.
+// A connection that was idle for this time is closed, unless it is the last one
+// to the leaf. A daemon opens additional connections during pauses of a leaf.
+// When all daemons lose power, the leaves keep the connections of the dead
+// processes for seconds, so spare connections would be missing when the daemons
+// restart.
+//
+// If there are more daemons than a leaf accepts connections, the last one is
+// closed too: if each of 195 daemons kept one to a leaf that accepts 125,
+// daemons that need one would be refused. With this rule 215 instead of 882
+// connections were reset after such a restart (8 daemons, 30 leaves with 31
+// connections each).
+constexpr base::Duration kSpareIdleTimeout = base::Milliseconds(1'000);
+// A call without a reply ends this long after the caller's deadline.
 constexpr base::Duration kDeadlineMargin = base::Milliseconds(50);
 
 }  // namespace
@@ -66,7 +68,7 @@
   ForwardClientCounters counters_;
 
  private:
-  // One request on its way.
+  // A request in flight.
   struct Call {
     blackboard::Upstream upstream;
     base::MonotonicTime sent;
@@ -77,25 +79,26 @@
     bool is_finished = false;
   };
 
-  struct Kept {
+  struct PooledConnection {
     std::shared_ptr<ClientConnection> connection;
     // When it was opened or its last exchange ended.
     base::MonotonicTime last_used;
   };
 
-  // The one used last comes first.
-  using Connections = std::list<Kept>;
+  // The most recently used connection comes first.
+  using Connections = std::list<PooledConnection>;
 
   // The connections to one leaf.
   struct Leaf {
     Connections connections;
-    // Whether the last one is kept although nobody needs it.
-    bool keeps_one = true;
+    // Whether the last connection is kept open while it is idle.
+    bool keeps_last = true;
   };
 
-  std::shared_ptr<ClientConnection> Take(const blackboard::Upstream& upstream);
-  // Whether one more may be opened.
-  bool HasPlace(const blackboard::Upstream& upstream) const;
+  std::shared_ptr<ClientConnection> Acquire(
+      const blackboard::Upstream& upstream);
+  // Whether another connection may be opened.
+  bool CanOpen(const blackboard::Upstream& upstream) const;
   std::shared_ptr<ClientConnection> FindFree(Connections& connections);
   std::shared_ptr<ClientConnection> Open(const blackboard::Upstream& upstream);
   void DidChange(const std::string& leaf, ClientConnection& connection);
@@ -108,8 +111,8 @@
   const base::TaskRunner traffic_;
   const ForwardCodec codec_;
   const std::function<double(const blackboard::Upstream&)> connection_share_;
-  // Open or opening connections by the leaf's name, which is new at each of
-  // its starts. Invariant: none is closed.
+  // Open and opening connections by the leaf's name, which changes with each of
+  // its starts. Invariant: no connection is closed.
   std::map<std::string, Leaf> leaves_;
 };
 
@@ -121,13 +124,13 @@
   state->upstream = upstream;
   state->sent = clock_.Now();
   state->done = std::move(done);
-  auto connection = Take(upstream);
+  auto connection = Acquire(upstream);
   if (!connection) {
     ForwardReply reply;
     reply.outcome = LeafOutcome::kUnreachable;
-    reply.error =
-        base::MakeError(ErrorCode::kUnreachable, Step::kSendUpstream,
-                        upstream.address, "no connection may be opened");
+    reply.error = base::MakeError(
+        ErrorCode::kUnreachable, Step::kSendUpstream, upstream.address,
+        "connection limit reached or invalid address");
     traffic_.Post([self = shared_from_this(), state, reply] {
       self->Finish(state, reply);
     });
@@ -139,7 +142,8 @@
   http1::Exchange exchange;
   exchange.request =
       std::make_shared<http1::Request>(codec_.encode(upstream, call));
-  // The leaf must not be given the time that opening the connection took.
+  // The time that opening the connection took is subtracted from the leaf's
+  // remaining time.
   exchange.will_write = [self = shared_from_this(), state,
                          time_left = call.time_left](http1::Request& request) {
     state->has_left = true;
@@ -180,17 +184,17 @@
   if (row == leaves_.end()) {
     return Readiness::kMustConnect;
   }
-  // NOTE: looking for a free one may close stale ones and so end the row.
-  const bool has_place = HasPlace(upstream);
+  // NOTE: FindFree() may close stale connections and thereby erase the row.
+  const bool can_open = CanOpen(upstream);
   const auto free = FindFree(row->second.connections);
   if (!free) {
-    return has_place ? Readiness::kMustConnect : Readiness::kFull;
+    return can_open ? Readiness::kMustConnect : Readiness::kFull;
   }
   return free->is_open() ? Readiness::kOpen : Readiness::kMustConnect;
 }
 
 void ForwardClient::Impl::Prepare(const blackboard::Upstream& upstream) {
-  if (const auto connection = Take(upstream)) {
+  if (const auto connection = Acquire(upstream)) {
     connection->Prepare();
   }
 }
@@ -201,9 +205,9 @@
     if (view.upstreams.contains(name)) {
       continue;
     }
-    for (const Kept& kept : leaf.connections) {
-      if (kept.connection->is_free()) {
-        unneeded.push_back(kept.connection);
+    for (const PooledConnection& pooled : leaf.connections) {
+      if (pooled.connection->is_free()) {
+        unneeded.push_back(pooled.connection);
       }
     }
   }
@@ -217,13 +221,14 @@
   const base::MonotonicTime now = clock_.Now();
   for (const auto& [name, leaf] : leaves_) {
     const Connections& connections = leaf.connections;
-    const std::size_t kept_open = leaf.keeps_one ? 1 : 0;
+    const std::size_t kept_open = leaf.keeps_last ? 1 : 0;
     std::size_t left = connections.size();
-    for (auto kept = connections.rbegin(); kept != connections.rend(); ++kept) {
-      const bool is_idle =
-          kept->connection->is_free() && now - kept->last_used >= kSpareIdle;
+    for (auto pooled = connections.rbegin(); pooled != connections.rend();
+         ++pooled) {
+      const bool is_idle = pooled->connection->is_free() &&
+                           now - pooled->last_used >= kSpareIdleTimeout;
       if (is_idle && left > kept_open) {
-        spare.push_back(kept->connection);
+        spare.push_back(pooled->connection);
         --left;
       }
     }
@@ -233,35 +238,35 @@
   }
 }
 
-std::shared_ptr<ClientConnection> ForwardClient::Impl::Take(
+std::shared_ptr<ClientConnection> ForwardClient::Impl::Acquire(
     const blackboard::Upstream& upstream) {
   const auto row = leaves_.find(upstream.name);
   if (row != leaves_.end()) {
-    row->second.keeps_one = connection_share_(upstream) >= 1.0;
-    // NOTE: this may close stale ones and so end the row.
+    row->second.keeps_last = connection_share_(upstream) >= 1.0;
+    // NOTE: this may close stale connections and thereby erase the row.
     if (auto connection = FindFree(row->second.connections)) {
       return connection;
     }
   }
-  return HasPlace(upstream) ? Open(upstream) : nullptr;
+  return CanOpen(upstream) ? Open(upstream) : nullptr;
 }
 
-bool ForwardClient::Impl::HasPlace(const blackboard::Upstream& upstream) const {
+bool ForwardClient::Impl::CanOpen(const blackboard::Upstream& upstream) const {
   const double share = std::max(1.0, connection_share_(upstream));
   const auto row = leaves_.find(upstream.name);
   return row == leaves_.end() ||
          row->second.connections.size() < static_cast<std::size_t>(share);
 }
 
-// The one used last, so that the others may time out; those that the leaf is
-// about to close are closed here.
+// Returns the most recently used free connection, so that the others can reach
+// their idle timeout. Closes connections that the leaf is about to close.
 std::shared_ptr<ClientConnection> ForwardClient::Impl::FindFree(
     Connections& connections) {
   std::vector<std::shared_ptr<ClientConnection>> stale;
   std::shared_ptr<ClientConnection> found;
   const base::MonotonicTime now = clock_.Now();
-  for (const Kept& kept : connections) {
-    const auto& connection = kept.connection;
+  for (const PooledConnection& pooled : connections) {
+    const auto& connection = pooled.connection;
     if (!connection->is_free()) {
       continue;
     }
@@ -288,7 +293,7 @@
   ClientConnection::Settings settings;
   settings.peer = endpoint.value();
   settings.connect_timeout = kConnectTimeout;
-  settings.silence = kSilence;
+  settings.silence = kAckTimeout;
   settings.did_change = [self = weak_from_this(),
                          leaf = upstream.name](ClientConnection& connection) {
     if (auto client = self.lock()) {
@@ -298,7 +303,7 @@
   auto connection =
       std::make_shared<ClientConnection>(context_, std::move(settings));
   Leaf& leaf = leaves_[upstream.name];
-  leaf.keeps_one = connection_share_(upstream) >= 1.0;
+  leaf.keeps_last = connection_share_(upstream) >= 1.0;
   leaf.connections.push_back({connection, clock_.Now()});
   return connection;
 }
@@ -311,8 +316,9 @@
   }
   Connections& connections = row->second.connections;
   const auto self = connection.shared_from_this();
-  connections.remove_if(
-      [&self](const Kept& kept) { return kept.connection == self; });
+  connections.remove_if([&self](const PooledConnection& pooled) {
+    return pooled.connection == self;
+  });
   if (!connection.is_closed()) {
     connections.push_front({self, clock_.Now()});
   }
@@ -353,7 +359,8 @@
         ErrorCode::kTimeout,
         call->has_left ? Step::kReadUpstream : Step::kSendUpstream,
         call->upstream.address,
-        call->has_left ? "no reply in time" : "no connection in time");
+        call->has_left ? "no reply in time"
+                       : "connection not established in time");
     if (auto running = call->connection.lock()) {
       running->Abort();
     }
--- a/src/upstream/health_poller.cc
+++ b/src/upstream/health_poller.cc
@@ -1,4 +1,4 @@
-// The schedule of health reads.
+// Implementation of upstream::HealthPoller.
 
 #include "src/upstream/health_poller.h"
 
@@ -11,11 +11,11 @@
 using base::MonotonicTime;
 
 Duration Jitter(base::Random& random, Duration duration) {
-  constexpr double kLeast = 0.75;
-  constexpr double kSpan = 0.5;
+  constexpr double kMinFactor = 0.75;
+  constexpr double kFactorRange = 0.5;
   return Duration(
       static_cast<std::int64_t>(static_cast<double>(duration.count()) *
-                                (kLeast + kSpan * random.Unit())));
+                                (kMinFactor + kFactorRange * random.Unit())));
 }
 
 HealthPoller::HealthPoller(const UpstreamSettings& settings,
@@ -87,7 +87,7 @@
                clock_.Now() + Jitter(random_, settings_.role_check_interval));
     callbacks_.did_skip(*name);
   }
-  // The end of a read goes on from here.
+  // DidRead() schedules the rest once a read has ended.
 }
 
 void HealthPoller::Read(const std::string& name,
--- a/tests/membership/membership_controller_test.cc
+++ b/tests/membership/membership_controller_test.cc
@@ -1,5 +1,6 @@
-// Whole memberships of a few daemons through joins, losses, freezes, cuts and a
-// list that lags or is down. The seed is the parameter of each test.
+// Tests membership among a few simulated daemons with joins, failures, freezes,
+// network partitions, and a VM list that lags or is unavailable. The test
+// parameter is the random seed.
 
 #include "src/membership/membership_controller.h"
 
@@ -16,13 +17,13 @@
 constexpr base::Duration kOwnDomainBound = base::Milliseconds(2'000);
 constexpr base::Duration kOtherDomainsBound = base::Milliseconds(5'000);
 constexpr base::Duration kRejoinBound = base::Milliseconds(18'000);
-constexpr std::size_t kAll = 13;
+constexpr std::size_t kVmCount = 13;
 
 class MembershipControllerTest : public testing::TestWithParam<int> {
  protected:
   MembershipControllerTest() : world_(static_cast<std::uint64_t>(GetParam())) {}
 
-  // Three domains in two regions: a and b are near, c is far.
+  // Three domains in two regions: a and b in the north, c in the south.
   void SetUp() override {
     world_.AddDomain("north", "a", 6);
     world_.AddDomain("north", "b", 4);
@@ -37,7 +38,7 @@
                        [&name](const Vm* vm) { return vm->SeesLeaving(name); });
   }
 
-  // Whether every VM has `count` members that are live.
+  // Whether every VM's view has this number of members, by the VM's region.
   bool AllHave(std::size_t north_count, std::size_t south_count) const {
     const auto all = world_.running();
     return std::all_of(all.begin(), all.end(), [&](const Vm* vm) {
@@ -46,7 +47,8 @@
     });
   }
 
-  // As targets does it: whoever sees a higher revision takes it over.
+  // Imitates the targets module: a daemon that sees the higher revision
+  // activates it.
   bool DidAllTakeOver(std::int64_t revision) {
     bool did_all = true;
     for (Vm* vm : world_.running()) {
@@ -143,7 +145,7 @@
   EXPECT_TRUE(AllSeeLeaving("b-1")) << "it stays a member until it stops";
 }
 
-TEST_P(MembershipControllerTest, LaggingListMeansThePredecessor) {
+TEST_P(MembershipControllerTest, LaggingListDescribesThePreviousVm) {
   world_["b-1"].is_dead = true;
   world_.Add("b-1", "north", "b", 2);
   world_.listed["b-1"].address = "b-1:1";
@@ -167,11 +169,11 @@
   const int before = world_.list_reads;
   world_.Advance(base::Milliseconds(20'000));
   // Three delegates in each of three domains, every two seconds.
-  constexpr int kMostReads = 9 * (10 + 1);
-  EXPECT_LE(world_.list_reads - before, kMostReads);
+  constexpr int kMaxReads = 9 * (10 + 1);
+  EXPECT_LE(world_.list_reads - before, kMaxReads);
 }
 
-TEST_P(MembershipControllerTest, FrozenVmLearnsFirstThatItWasTakenForDead) {
+TEST_P(MembershipControllerTest, FrozenVmRejoinsBeforeItDeclaresOthersGone) {
   Vm& frozen = world_["a-3"];
   frozen.is_frozen = true;
   ASSERT_LT(world_.Until(kOtherDomainsBound,
@@ -179,26 +181,26 @@
             kOtherDomainsBound);
   world_.Advance(base::Milliseconds(60'000));
   frozen.is_frozen = false;
-  bool did_doubt_itself = false;
-  std::size_t fewest = kAll;
+  bool was_unsettled = false;
+  std::size_t fewest = kVmCount;
   const auto back = world_.Until(kSettled, [&] {
-    did_doubt_itself = did_doubt_itself || !frozen.view()->is_settled;
+    was_unsettled = was_unsettled || !frozen.view()->is_settled;
     fewest = std::min(fewest, frozen.view()->members.size());
-    return did_doubt_itself && world_.AllAgree();
+    return was_unsettled && world_.AllAgree();
   });
   EXPECT_LT(back, kOwnDomainBound);
-  EXPECT_TRUE(did_doubt_itself);
-  EXPECT_EQ(fewest, kAll) << "it found others gone on waking";
+  EXPECT_TRUE(was_unsettled);
+  EXPECT_EQ(fewest, kVmCount) << "it declared others gone after the freeze";
 }
 
-TEST_P(MembershipControllerTest, ShortFreezeOfTheProberFindsNobodyGone) {
+TEST_P(MembershipControllerTest, ShortFreezeOfTheProberDeclaresNobodyGone) {
   for (int i = 0; i < 10; ++i) {
     world_["a-0"].is_frozen = true;
     world_.Advance(base::Milliseconds(600));
     world_["a-0"].is_frozen = false;
     for (int step = 0; step < 100; ++step) {
       world_.Advance(base::Milliseconds(10));
-      ASSERT_EQ(world_["a-0"].view()->members.size(), kAll);
+      ASSERT_EQ(world_["a-0"].view()->members.size(), kVmCount);
     }
   }
 }
@@ -206,37 +208,36 @@
 TEST_P(MembershipControllerTest, TheHigherOfTwoIncarnationsWins) {
   Vm& older = world_["a-4"];
   const Vm& newer = world_.Add("a-4", "north", "a", 2);
-  EXPECT_LT(
-      world_.Until(kSettled, [&] { return older.stepped_aside_for == 2; }),
-      kSettled);
+  EXPECT_LT(world_.Until(kSettled, [&] { return older.replaced_by == 2; }),
+            kSettled);
   EXPECT_FALSE(older.view()->is_settled);
-  EXPECT_EQ(newer.stepped_aside_for, 0);
+  EXPECT_EQ(newer.replaced_by, 0);
   older.is_dead = true;
   world_.Advance(kSettled);
   EXPECT_TRUE(world_.AllAgree());
   EXPECT_EQ(world_["c-0"].view()->members.at("a-4").incarnation, 2);
 }
 
-TEST_P(MembershipControllerTest, FrozenVmThatWasReplacedStepsAside) {
+TEST_P(MembershipControllerTest, FrozenVmThatWasReplacedEndsMembership) {
   Vm& older = world_["a-4"];
   older.is_frozen = true;
   world_.Advance(kSettled);
   world_.Add("a-4", "north", "a", 2);
   world_.Advance(kSettled);
   older.is_frozen = false;
-  EXPECT_LT(
-      world_.Until(kSettled, [&] { return older.stepped_aside_for == 2; }),
-      kSettled);
+  EXPECT_LT(world_.Until(kSettled, [&] { return older.replaced_by == 2; }),
+            kSettled);
   older.is_dead = true;
   EXPECT_TRUE(world_.AllAgree());
 }
 
-TEST_P(MembershipControllerTest, RegionsPartAndJoinAgain) {
+TEST_P(MembershipControllerTest, PartitionedRegionsMergeAgain) {
   world_.Cut("north", "south");
   EXPECT_LT(world_.Until(kSettled, [&] { return AllHave(10, 3); }), kSettled);
   world_.Advance(base::Milliseconds(60'000));
   EXPECT_TRUE(AllHave(10, 3));
-  // Each side loses one, one joins, and a new revision comes into force.
+  // Each side loses a VM, one VM joins, and a new targets revision is
+  // activated.
   world_["a-0"].is_dead = true;
   world_["c-0"].is_dead = true;
   world_.Add("b-new", "north", "b");
--- a/tests/membership/world.cc
+++ b/tests/membership/world.cc
@@ -1,4 +1,4 @@
-// Delivery of heartbeats with delays and losses behind the test's World.
+// Implementation of the simulated network and VMs.
 
 #include "tests/membership/world.h"
 
@@ -26,8 +26,8 @@
                                        base::Duration) {
     heard_draining.push_back(upstream);
   };
-  callbacks.did_step_aside = [this](std::int64_t newer) {
-    stepped_aside_for = newer;
+  callbacks.did_get_replaced = [this](std::int64_t newer) {
+    replaced_by = newer;
   };
   const peer::PeerPort port{
       [this, &world](const std::string& peer, peer::Message message) {
@@ -192,7 +192,7 @@
     target.controller().DidReceiveHeartbeat(sender, heartbeat);
     return;
   }
-  // As the links do: the older incarnation is shown the newer one.
+  // Like the peer links: the older incarnation is notified of the newer one.
   peer::wire::Heartbeat notice;
   notice.others.resize(1);
   notice.others[0].name = sender.name;
