--- a/src/routing/aggregator_choice.cc
+++ b/src/routing/aggregator_choice.cc
@@ -1,5 +1,5 @@
-// Domains with leaves, the strongest daemons in them, and the parts that
-// follow.
+// Finds the failure domains that hold leaves, selects the daemons with the
+// largest processor share in them, and splits the shards into parts.
 
 #include "src/routing/aggregator_choice.h"
 
@@ -16,11 +16,12 @@
 using blackboard::MembershipView;
 using blackboard::UpstreamState;
 
-// A failure domain has aggregators if it holds leaves of this part of the
-// shards: handing over fewer costs more than it saves.
+// A failure domain has aggregators only if it holds leaves of at least this
+// share of the shards: handing over fewer costs more than it saves.
 constexpr double kLeastPart = 0.2;
-// A daemon with this part of the strongest one's processor share still counts
-// as strong: the work is shared by as many daemons as can bear it.
+// A daemon is an aggregator if it has at least this fraction of the largest
+// processor share in its failure domain, so that the work is spread over as
+// many capable daemons as possible.
 constexpr double kStrongPart = 0.5;
 
 // The failure domains that hold a leaf of each shard.
@@ -88,8 +89,9 @@
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// The domain of `self`'s region whose aggregators take the shard: its own if
-// that has a leaf. Empty if none in the region has.
+// The failure domain in `self`'s region whose aggregators take the shard;
+// `self`'s own domain is preferred if it has a leaf of the shard. Empty if no
+// domain in the region has one.
 std::string DomainFor(const std::set<std::string>& domains,
                       const Aggregators& aggregators,
                       const MembershipView& membership,
@@ -150,8 +152,7 @@
   return peers;
 }
 
-// Whether some daemons hand their requests over, so that aggregators send for
-// others.
+// Whether any daemon is not an aggregator and thus hands its requests over.
 bool HasEntries(const MembershipView& membership,
                 const Aggregators& aggregators) {
   return std::any_of(
@@ -163,7 +164,7 @@
 }
 
 // The failure domains whose aggregators send to the shard: in each region those
-// that hold a leaf of it, or any if none does.
+// that hold a leaf of the shard, or all if none does.
 std::set<std::string> DomainsThatSend(const std::set<std::string>& domains,
                                       const Aggregators& aggregators,
                                       const MembershipView& membership) {
--- a/src/routing/aggregator_choice.h
+++ b/src/routing/aggregator_choice.h
@@ -1,15 +1,16 @@
-// Which daemons fan out the requests to all shards of others.
+// Chooses the daemons (aggregators) that fan out requests to all shards on
+// behalf of other daemons.
 //
-// Such a request costs a send a shard. Those to leaves of another failure
-// domain cross to it one by one, and on a small VM all of them together take
-// longer than the leaves' own work. So the shards are split by the failure
-// domain of their leaves in the region, and each part is handed to an
-// aggregator: a daemon in that domain that has the processor for it. One
-// request and one answer cross for a whole part.
+// A request to all shards costs one send per shard. Sends to another failure
+// domain cross the domain boundary one by one, and on a small VM all sends
+// together take longer than the leaves' own work. The shards are therefore
+// split by the failure domain of their leaves in the region, and each part is
+// handed to an aggregator: a daemon in that domain with enough processor
+// share. Only one request and one answer per part cross the boundary.
 //
-// Pure and the same on every daemon that sees the same members and leaves, so
-// roles need no agreement. Daemons that see different ones for a while still
-// serve: whoever gets a part fans it out.
+// The choice is a pure function of the members and the leaves, so daemons that
+// see the same ones agree without coordination. Daemons whose views differ for
+// a while still serve correctly: whichever daemon receives a part fans it out.
 
 #ifndef MEDLARSPREAD_ROUTING_AGGREGATOR_CHOICE_H_
 #define MEDLARSPREAD_ROUTING_AGGREGATOR_CHOICE_H_
@@ -24,13 +25,13 @@
 
 namespace medlarspread::routing {
 
-// Peers that one daemon hands a part to, at most: one to use and two for when
-// it fails. It bounds the connections between daemons.
+// Most peers that one daemon hands a part to: a primary and two fallbacks.
+// Bounds the number of connections between daemons.
 constexpr std::size_t kMostAggregatorsUsed = 3;
 
 struct AggregatorPart {
   std::vector<std::string> shards;
-  // Whom this daemon hands the part to, in the order of preference; empty if it
+  // The peers to hand the part to, in order of preference; empty if this daemon
   // fans it out itself.
   std::vector<blackboard::Member> peers;
 };
@@ -38,7 +39,7 @@
 struct AggregatorChoice {
   // Every shard is in exactly one part.
   std::vector<AggregatorPart> parts;
-  // By shard: among whom its extra sends and connections are shared out.
+  // By shard: the daemons that share its budget of extra sends and connections.
   std::map<std::string, admission::Senders> senders;
 };
 
--- a/src/routing/aggregator_table.h
+++ b/src/routing/aggregator_table.h
@@ -1,5 +1,5 @@
-// The aggregators of each route, found again only when the members or the
-// leaves have changed: that costs as much as some sends.
+// Caches the aggregator choice of each route until the members or the leaves
+// change, because computing it costs as much as several sends.
 //
 // Not thread-safe; used on the traffic thread.
 
@@ -22,7 +22,7 @@
   using Membership = std::shared_ptr<const blackboard::MembershipView>;
   using Leaves = std::shared_ptr<const LeafIndex>;
 
-  // Valid until the next call.
+  // The returned reference is valid until the next call.
   const AggregatorChoice& For(const std::vector<std::string>& shards,
                               const Membership& membership,
                               const Leaves& leaves) {
@@ -41,7 +41,7 @@
   }
 
  private:
-  // What `choices_` was made from.
+  // The views that `choices_` was computed from.
   Membership membership_;
   Leaves leaves_;
   // By the shards of a route.
--- a/src/routing/dispatcher.cc
+++ b/src/routing/dispatcher.cc
@@ -1,4 +1,5 @@
-// Queueing, binding, second sends and retries of one collection's shards.
+// Queueing, replica assignment, second sends and retries for the shard requests
+// of one collection.
 
 #include "src/routing/dispatcher.h"
 
@@ -15,19 +16,19 @@
 using base::Step;
 using upstream::LeafOutcome;
 
-// How often a non-empty queue is looked at again when no reply does so: a leaf
-// may have become usable by news from elsewhere.
+// Interval at which non-empty queues are pumped even if no reply triggers it: a
+// leaf may have become usable through a change of the upstreams view.
 constexpr Duration kTick = base::Milliseconds(10);
 constexpr int kMostRetries = 3;
 
-// A request stands in the queue at most twice: once for its first send (or a
-// retry) and once for its second send.
+// A request is in the queue at most twice: once for its first send (or a retry)
+// and once for its second send.
 std::uint64_t QueueIdOf(std::uint64_t job, bool is_second_send) {
   return job * 2 + (is_second_send ? 1 : 0);
 }
 
-// What is said of a shard that got no answer: a refusal promises that no leaf
-// ran it, whichever of its sends came first.
+// The outcome of a shard without an answer. A refusal promises that no leaf ran
+// the request in any of its attempts.
 ShardOutcome OutcomeWithoutAnswer(const ShardJob& job) {
   return job.may_have_run ? ShardOutcome::kUnknown : ShardOutcome::kRefused;
 }
@@ -92,14 +93,14 @@
   job.arrived = now;
   if (job.request.deadline <= now) {
     job.last_error = base::MakeError(ErrorCode::kExpired, Step::kQueue, "",
-                                     "deadline passed on arrival");
+                                     "deadline had passed on arrival");
     GiveUp(id, ShardOutcome::kRefused);
     return;
   }
   if (!replicas_.HasUsable(job.key(), job.tried)) {
     job.last_error =
         base::MakeError(ErrorCode::kWrongSnapshot, Step::kQueue, "",
-                        "no replica here holds the shard in this snapshot");
+                        "no usable replica holds the shard in this snapshot");
     GiveUp(id, ShardOutcome::kWrongSnapshot);
     return;
   }
@@ -122,7 +123,7 @@
 
 // Step 2.
 void Dispatcher::Pump(const ShardKey& key) {
-  // Leaves that have room but that no queued request may go to.
+  // Leaves that have capacity but that no queued request may be sent to.
   std::set<std::string> exhausted;
   while (true) {
     if (queues_.queued(key) == 0) {
@@ -150,8 +151,8 @@
 }
 
 void Dispatcher::PumpLeaf(const blackboard::Upstream& upstream) {
-  // NOTE: the leaf's holdings may have changed since it was sent to; the tick
-  // looks after queues that this misses.
+  // NOTE: the leaf's holdings may have changed since the send; the periodic
+  // tick pumps the queues that this misses.
   for (const auto& holding : upstream.holdings) {
     Pump(holding);
   }
@@ -182,7 +183,7 @@
                       const blackboard::Upstream& upstream) {
   const bool did_acquire = windows_->TryAcquire(upstream);
   if (!did_acquire) {
-    // Another dispatcher took the place in between.
+    // Another dispatcher has taken the free slot in the meantime.
     Enqueue(id, job, job.sends > 0);
     return;
   }
@@ -201,8 +202,8 @@
   ports_.leaves.send(upstream, MakeLeafRequest(job.request, attempt_id, now),
                      [self = shared_from_this(), id, attempt_id, upstream, now,
                       key = job.key()](upstream::LeafReply reply) {
-                       // What counts for limits and delays is the time as seen
-                       // from here.
+                       // Limits and delays are based on the time measured by
+                       // this daemon, not on the one that the leaf reports.
                        reply.service_time = self->clock_.Now() - now;
                        self->runner_.Post([self, id, attempt_id, upstream, key,
                                            reply = std::move(reply)] {
@@ -214,7 +215,8 @@
                      });
 }
 
-// The place at the leaf is freed even if the request is gone by now.
+// Frees the slot at the leaf even if the request has been cancelled or finished
+// in the meantime.
 void Dispatcher::DidLeaveLeaf(const ShardKey& key,
                               const blackboard::Upstream& upstream,
                               const upstream::LeafReply& reply) {
@@ -223,8 +225,8 @@
   ports_.observe(upstream.name, reply);
 }
 
-// Step 3. The delay counts from the send to the leaf, not from the arrival of
-// the request: waiting in the queue is no sign of a slow replica.
+// Step 3. The delay starts at the send to the leaf, not at the arrival of the
+// request: time spent in the queue does not indicate a slow replica.
 void Dispatcher::ArmSecondSend(std::uint64_t id, ShardJob& job) {
   if (!HasSecondSends(options_.policy) || job.request.is_at_most_once ||
       job.request.is_hedge) {
@@ -360,8 +362,8 @@
   }
   const bool has_other_replica = replicas_.HasUsable(job.key(), job.tried);
   if (IsRefusal(reply.outcome) && has_other_replica) {
-    // NOTE: a refusal costs the leaf next to nothing, so another replica is
-    // asked without paying from the budget.
+    // NOTE: a refusal costs the leaf almost nothing, so asking another replica
+    // is not charged to the retry budget.
     return NextStep::kRetryNow;
   }
   const bool is_late = job.request.target_due <= clock_.Now();
@@ -382,7 +384,8 @@
     GiveUp(id, OutcomeWithoutAnswer(job));
     return;
   }
-  // Only a leaf that shed may be asked again: it said when.
+  // Only leaves that shed the request are retried, since they told when to
+  // retry.
   job.tried.clear();
   job.is_backing_off = true;
   runner_.After(delay, [self = shared_from_this(), id] {
@@ -434,8 +437,8 @@
 
 void Dispatcher::CancelAttempts(ShardJob& job) {
   for (const ShardAttempt& attempt : job.attempts) {
-    // A leaf that always loses against the second send never answers, but it
-    // shows its slowness all the same.
+    // A leaf that always loses to the second send never gets to answer, so the
+    // time until the cancellation is recorded as a lower bound.
     loads_.DidTakeAtLeast(attempt.upstream.name, clock_.Now() - attempt.sent);
     ports_.leaves.cancel(attempt.upstream, attempt.id);
   }
--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -1,18 +1,18 @@
 // Sends the shard requests of one collection to the leaves that this daemon may
 // use. A request waits in the queue of its shard, most urgent first, and is
-// bound to a leaf only when one of the shard's replicas has room. A shard that
-// is late is asked of a second replica; a leaf's refusal is tried elsewhere as
-// long as budget and time allow.
+// assigned to a leaf only when one of the shard's replicas has capacity. A late
+// request is also sent to a second replica; a refused request is retried at
+// another replica while the retry budget and the deadline allow it.
 //
 // All state belongs to one sequence. Steps of one request:
 //   1. Submit() queues it.
-//   2. Pump() binds it to a replica with room and sends it.
+//   2. Pump() assigns it to a replica with capacity and sends it.
 //   3. If no reply has come after the second-send delay, step 2 runs again for
 //      another replica, at the head of the queue.
-//   4. DidReply() delivers the first whole answer and cancels other attempts;
-//      a refusal goes back to step 1.
-//   5. At the deadline, or when nothing is left to try, the request is given up
-//      at once with what is known: refused if it certainly did not run, unknown
+//   4. DidReply() delivers the first complete answer and cancels the other
+//      attempts; a refusal returns the request to step 1.
+//   5. At the deadline, or when no replica is left to try, the request fails
+//      immediately: with kRefused if it certainly did not run, with kUnknown
 //      otherwise.
 
 #ifndef MEDLARSPREAD_ROUTING_DISPATCHER_H_
@@ -45,10 +45,10 @@
 
 namespace medlarspread::routing {
 
-// What one dispatcher needs from its surroundings.
+// External operations that a dispatcher calls.
 struct DispatcherPorts {
   upstream::LeafPort leaves;
-  // Told of every reply, for the upstream controller.
+  // Called with every reply; the upstream controller uses it.
   std::function<void(const std::string& upstream, const upstream::LeafReply&)>
       observe;
   // Asks the owner in another region for a second send; returns false if no
@@ -58,10 +58,10 @@
 
 struct DispatcherOptions {
   std::string collection;
-  // Makes attempt identifiers unique over daemons and incarnations.
+  // Makes attempt identifiers unique across daemons and incarnations.
   std::string attempt_prefix;
   Policy policy;
-  // Second sends as a share of first sends, at most.
+  // Upper bound on second sends as a share of first sends.
   double second_send_share = admission::SecondSendPolicy::kDefaultShare;
 };
 
@@ -78,15 +78,15 @@
   // Safe from any thread. `done` runs once, on this dispatcher's sequence,
   // unless the request is cancelled first.
   std::uint64_t Submit(ShardRequest request, ShardCallback done);
-  // Safe from any thread. Drops the request and its attempts at the leaves.
+  // Safe from any thread. Drops the request and cancels its attempts.
   void Cancel(std::uint64_t job);
 
-  // Requests that are queued or sent; for status pages.
+  // Numbers of requests that are queued or in flight; for status pages.
   int queued() const { return queues_.total_queued(); }
   int running() const { return queues_.total_running(); }
 
  private:
-  // What is left to do with a request after an attempt failed.
+  // How to continue with a request after a failed attempt.
   enum class NextStep { kWaitForOthers, kRetryNow, kRetryLater, kGiveUp };
 
   void DidSubmit(std::uint64_t id, ShardRequest request, ShardCallback done);
@@ -119,8 +119,6 @@
   void Deliver(std::uint64_t id, ShardResult result);
   void CancelAttempts(ShardJob& job);
   void Forget(std::uint64_t id, ShardJob& job);
-  // What a new request like `request` would meet.
-  // How long a new request of the same class would wait for a place.
 
   const DispatcherOptions options_;
   const base::Clock clock_;
--- a/src/routing/dispatcher_set.cc
+++ b/src/routing/dispatcher_set.cc
@@ -1,4 +1,4 @@
-// A mutex around the map of dispatchers.
+// Map of dispatchers that is guarded by a mutex.
 
 #include "src/routing/dispatcher_set.h"
 
--- a/src/routing/dispatcher_set.h
+++ b/src/routing/dispatcher_set.h
@@ -1,4 +1,4 @@
-// The dispatchers of one daemon, one per collection, made on first use.
+// The dispatchers of one daemon: one per collection, created on first use.
 
 #ifndef MEDLARSPREAD_ROUTING_DISPATCHER_SET_H_
 #define MEDLARSPREAD_ROUTING_DISPATCHER_SET_H_
--- a/src/routing/leaf_index.h
+++ b/src/routing/leaf_index.h
@@ -1,4 +1,5 @@
-// The leaves of each collection, from the blackboard's view of all upstreams.
+// Index of the leaves by collection, built from the blackboard's view of all
+// upstreams.
 
 #ifndef MEDLARSPREAD_ROUTING_LEAF_INDEX_H_
 #define MEDLARSPREAD_ROUTING_LEAF_INDEX_H_
@@ -35,7 +36,7 @@
   }
 
  private:
-  // Keeps alive what the pointers point at.
+  // Owns the upstreams that `collections_` points to.
   const std::shared_ptr<const blackboard::UpstreamsView> view_;
   std::unordered_map<std::string, Leaves> collections_;
 };
--- a/src/routing/leaf_pace.cc
+++ b/src/routing/leaf_pace.cc
@@ -1,4 +1,4 @@
-// Growth by addition, shrinking by multiplication.
+// Additive increase and multiplicative decrease of the window.
 
 #include "src/routing/leaf_pace.h"
 
@@ -8,17 +8,18 @@
 
 namespace {
 
-// A leaf at which one request in four is late although it is alone there keeps
-// a window of about one.
+// With these two, a leaf that is late for one in four requests even when it
+// serves only one at a time settles at a window of about one.
 constexpr double kGrowth = 0.1;
 constexpr double kShrinking = 0.7;
-// Late replies come in groups, since they waited in one queue or for one pause.
+// Late replies come in bursts, because they waited in the same queue or for the
+// same pause of the leaf. Each burst reduces the window only once.
 constexpr base::Duration kShrinkingPause = base::Milliseconds(50);
-// It takes seven late moments in a row to narrow that to one. A pause of a leaf
-// makes three or four.
+// Seven reductions in a row take this window to about one request. A single
+// pause of a leaf causes three or four.
 constexpr double kFirstWindow = 16.0;
-// A leaf that answers nothing in time is still tried now and then, this often
-// at the least: it may be at its speed again.
+// A leaf that answers nothing in time is still probed at least this often,
+// because it may have recovered.
 constexpr double kNarrowest = 0.05;
 constexpr base::Duration kLongestGap = base::Milliseconds(4'000);
 
--- a/src/routing/leaf_pace.h
+++ b/src/routing/leaf_pace.h
@@ -1,20 +1,22 @@
-// How many requests this daemon keeps at one leaf, so that they are answered in
-// time.
+// Limits how many requests this daemon keeps in flight at one leaf, so that
+// they are answered within their latency target.
 //
-// A shard whose leaves have all become slow can answer a part of what it is
-// asked. First come, first served, nobody gets an answer in time: each waits
-// behind those that have given up already. So a daemon sends a leaf no more
-// than what comes back in time; the requests beyond that are answered without
-// the shard, early, if their coverage target allows it.
+// A shard whose leaves have all become slow can serve only a fraction of its
+// requests. In first-come, first-served order no request would be answered in
+// time, because each waits behind requests that have already timed out. A
+// daemon therefore sends a leaf only as many requests as it answers in time.
+// Requests beyond that are answered early without the shard if their coverage
+// target allows it.
 //
-// There is no window until a reply was late; it then begins wider than one
-// pause of a sound leaf can narrow it to a bound, or at what was in flight if
-// that is more. It grows a little with each reply in time, until it is that
-// wide again, and shrinks by a part with each late one. Below one it stands for
-// the time between two sends. Daemons that share a leaf find their parts
-// without knowing of each other, as senders that share a network path do.
+// The window uses additive increase and multiplicative decrease (AIMD), as TCP
+// congestion control does, so daemons that share a leaf converge on their
+// shares without coordination. There is no window until a reply is late. It
+// then starts at kInitialWindow, which a single pause of a healthy leaf cannot
+// reduce to an effective limit, or at the number of requests in flight if that
+// is larger. It is removed once it has grown back to kInitialWindow. A window
+// below one stands for a minimum time between two sends.
 //
-// Pure decision code; calls come from one sequence.
+// Pure decision code; used on one sequence.
 
 #ifndef MEDLARSPREAD_ROUTING_LEAF_PACE_H_
 #define MEDLARSPREAD_ROUTING_LEAF_PACE_H_
@@ -28,12 +30,11 @@
 
 class LeafPace {
  public:
-  // Whether one more request would be answered in time, as far as the last ones
-  // tell.
+  // Whether one more request is expected to be answered in time.
   bool MaySend(std::size_t in_flight, base::MonotonicTime now) const;
   void DidSend(base::MonotonicTime now) { sent_ = now; }
-  // A request ended `time` after it was sent, in time for its target or not,
-  // and left so many others at the leaf.
+  // A request ended `time` after it was sent, within its latency target or not.
+  // `in_flight` other requests remain at the leaf.
   void DidEnd(bool is_in_time,
               base::Duration time,
               std::size_t in_flight,
@@ -42,12 +43,12 @@
  private:
   void DidEndInTime();
 
-  // Requests; absent while nothing is bounded.
+  // In requests; absent while there is no limit.
   std::optional<double> window_;
   base::MonotonicTime sent_;
-  // When a late reply last made the window smaller.
+  // When a late reply last reduced the window.
   base::MonotonicTime shrunk_;
-  // What the last request took.
+  // Duration of the last request.
   base::Duration last_time_{};
 };
 
--- a/src/routing/leaf_report.h
+++ b/src/routing/leaf_report.h
@@ -1,5 +1,5 @@
-// How requests ended at a leaf, for daemons that send there too seldom to find
-// out themselves.
+// Summary of how requests ended at a leaf. It is shared with daemons that send
+// to the leaf too rarely to measure this themselves.
 
 #ifndef MEDLARSPREAD_ROUTING_LEAF_REPORT_H_
 #define MEDLARSPREAD_ROUTING_LEAF_REPORT_H_
@@ -11,14 +11,14 @@
 namespace medlarspread::routing {
 
 struct LeafReport {
-  // The name of one start of the leaf.
+  // Identifies one incarnation (process start) of the leaf.
   std::string leaf;
   std::string class_name;
-  // Failures included.
+  // Including failures.
   int replies = 0;
   int failures = 0;
-  // What the answers took at the leaf, the way there left out, on average; zero
-  // without an answer.
+  // Mean service time of the answers without the network time; zero if there
+  // was no answer.
   base::Duration work{};
 
   friend bool operator==(const LeafReport&, const LeafReport&) = default;
--- a/src/routing/leaf_times.cc
+++ b/src/routing/leaf_times.cc
@@ -13,12 +13,12 @@
 
 // Weight of the newest time in a leaf's mean.
 constexpr double kMeanWeight = 0.05;
-// Weights in a leaf's level. A leaf ten times as slow shows after three
-// answers, and no longer ten answers after it is fast again; two stragglers of
-// that kind in a row don't show.
+// Weights for a leaf's level. A leaf that becomes ten times slower is detected
+// after three answers, and no longer reported ten answers after its recovery.
+// Two such stragglers in a row are not enough to report the leaf.
 constexpr double kRiseWeight = 0.05;
 constexpr double kFallWeight = 0.2;
-// The median moves by this share of itself with each answer.
+// Each answer moves the median by this fraction of its value.
 constexpr double kMedianStep = 0.02;
 constexpr int kExcessFactor = 2;
 
--- a/src/routing/leaf_times.h
+++ b/src/routing/leaf_times.h
@@ -1,5 +1,5 @@
-// How long each leaf takes for an answer, and what is typical of the leaves of
-// the collection, so that a leaf that has become slow is told from its peers.
+// Tracks the answer time of each leaf and the typical one over all leaves of
+// the collection, to detect leaves that have become slower than the others.
 
 #ifndef MEDLARSPREAD_ROUTING_LEAF_TIMES_H_
 #define MEDLARSPREAD_ROUTING_LEAF_TIMES_H_
@@ -14,23 +14,24 @@
 // Used on one sequence.
 class LeafTimes {
  public:
-  // An answer of `leaf` took `time` from the send to the reply.
+  // `leaf` answered `time` after the send.
   void DidAnswer(const std::string& leaf, base::Duration time);
 
-  // The running mean of the leaf; the typical time before its first answer.
+  // The running mean for the leaf; the typical time before its first answer.
   base::Duration MeanOf(const std::string& leaf) const;
 
-  // The running median over all leaves: a few slow ones do not move it.
+  // The running median over all leaves, which a few slow leaves barely change.
   base::Duration typical() const { return typical_; }
 
-  // By how much the leaf takes longer than is typical; zero unless it takes
-  // more than twice as long, since leaves and requests differ a little anyway.
+  // The leaf's time beyond the typical one; zero unless the leaf takes more
+  // than twice the typical time, since small differences are normal.
   base::Duration ExcessOf(const std::string& leaf) const;
 
  private:
   struct Row {
     base::Duration mean{};
-    // Rises slowly and falls fast: high only while most answers are slow.
+    // Rises slowly and falls fast, so it is high only while most answers are
+    // slow.
     base::Duration level{};
   };
 
--- a/src/routing/leaf_tracker.cc
+++ b/src/routing/leaf_tracker.cc
@@ -1,4 +1,4 @@
-// The estimates behind the choice of a leaf.
+// Estimates of reply times and failure rates, and the choice of a leaf.
 
 #include "src/routing/leaf_tracker.h"
 
@@ -14,68 +14,73 @@
 using blackboard::UpstreamState;
 using upstream::LeafOutcome;
 
-// Microseconds, until replies have shown it: a reply from another failure
-// domain of the region and from another region.
+// In microseconds, used until measured: the extra time of a reply from another
+// failure domain of the region and from another region.
 constexpr double kFirstDistanceInRegion = 1'000.0;
 constexpr double kFirstDistanceToRegion = 20'000.0;
 constexpr double kFirstTypical = 10'000.0;
-// The fastest reply of a domain is forgotten at this rate per reply, so that a
-// link that has become slower is noticed after some hundred replies.
+// The fastest reply of a domain is raised by this factor per reply, so that a
+// link that has become slower is noticed after a few hundred replies.
 constexpr double kFastestDrift = 1.002;
 constexpr double kTypicalWeight = 0.05;
 constexpr double kAloneWeight = 0.02;
 constexpr double kSlownessWeight = 0.5;
-// The most that one reply can say: a leaf that paused once is back at its
-// speed, and only a row of slow replies must send requests to another region.
+// Bounds the effect of a single reply: a leaf that paused once is back to its
+// usual speed, and only several slow replies in a row should divert requests to
+// another region.
 constexpr double kHighestSlowness = 4.0;
-// A leaf that was slow is tried again about so many microseconds later.
+// Time constant in microseconds of the decay of a leaf's slowness, after which
+// the leaf is tried again.
 constexpr double kSlownessForgotten = 4'000'000.0;
-// A leaf works about 1.6 times as long in the seconds after its start.
+// Requests take about 1.6 times as long in the first seconds after a leaf's
+// start.
 constexpr double kColdFactor = 1.6;
-// A request that is in work for this many times what is typical is overdue.
+// A request is overdue after this many times its typical time.
 constexpr double kPatience = 3.0;
-// Microseconds that keep a leaf out while there is any other.
+// In microseconds; large enough that a penalized leaf is chosen only if no
+// other leaf is available.
 constexpr double kStalledPenalty = 60'000.0;
 constexpr double kFailingPenalty = 10'000'000.0;
 constexpr base::Duration kFirstStall = base::Milliseconds(60);
 constexpr int kMostStallDoublings = 3;
 constexpr base::Duration kFirstAvoidance = base::Milliseconds(150);
 constexpr int kMostAvoidanceDoublings = 4;
-// How often all requests together ask a leaf whose address another one has
-// taken over. Its entry goes when its lease ends, so this serves only a leaf
-// that was said to be replaced by mistake.
+// Interval of the probe requests to a leaf whose address another leaf has taken
+// over. The leaf's entry disappears when its lease ends, so the probes only
+// serve leaves that were marked as replaced by mistake.
 constexpr base::Duration kReplacedInterval = base::Milliseconds(30'000);
-// How much one reply counts in a leaf's share of failures, and after how many
-// microseconds about a third of the share is left.
+// Weight of one reply in a leaf's failure share, and the time constant in
+// microseconds of its decay: about a third of the share is left after that.
 constexpr double kFailureWeight = 0.3;
 constexpr double kFailureForgotten = 3'000'000.0;
-// What a failed send costs, as a multiple of the latency target. Sending again
-// takes time and, when many fail, more than the budget of extra sends holds:
-// then the shard is missing. So a leaf that is farther away but sound is better
-// for as long as its reply is in time. Nothing makes up for a failure that
-// can't be repeated.
+// Cost of a failed send as a multiple of the latency target. A retry takes time
+// and, if many sends fail, exceeds the budget of extra sends, so that the shard
+// is missing from the answer. A healthy leaf farther away is therefore
+// preferred as long as its reply is in time. The cost is higher for requests
+// that must not be repeated, because their failure is final.
 constexpr double kFailureCost = 1.0;
 constexpr double kFinalFailureCost = 3.0;
-// A leaf is told of to others if fewer replies than this came from it within
-// about so many microseconds: with more, a daemon finds out by itself, and so
-// do the others that are as busy.
+// Replies from a leaf are reported to other daemons only while at most this
+// many came within about the second constant (in microseconds). With more
+// replies a daemon can judge the leaf by itself, and so can other daemons that
+// are as busy.
 constexpr double kSeldomReplies = 3.0;
 constexpr double kRepliesForgotten = 3'000'000.0;
-// What a reply that another daemon tells of counts beside one of its own: it
-// may be some tenths of a second old, and is as good or bad as that daemon's
-// figures. One failure that is heard of still outweighs the way to another
-// region. With it 93 of 1,618 requests to a single collection were late where
-// 617 were, while half of its leaves were eight times as slow, and 57 failed
-// where 110 did, while most of them lost one answer in twelve (195 daemons of
-// which each sends one request in eight seconds; virtual fleet).
+// Weight of a reply reported by another daemon relative to an own one. A
+// reported reply may be some tenths of a second old and depends on that
+// daemon's estimates. One reported failure still outweighs the distance to
+// another region. Effect of the reports in the virtual fleet (195 daemons, each
+// sending one request every eight seconds to a single collection): with half of
+// the leaves eight times slower, 93 instead of 617 of 1,618 requests were late;
+// with most leaves losing one answer in twelve, 57 instead of 110 failed.
 constexpr double kHeardPart = 0.5;
-// Replies in one report beyond this say nothing more.
+// Replies in one report beyond this number are ignored.
 constexpr int kMostHeard = 20;
-// Classes and reports beyond these are not a daemon's.
+// Memory bounds; no regular daemon has more classes or sends more reports.
 constexpr std::size_t kMostClasses = 10'000;
 constexpr std::size_t kMostReports = 64;
-// Microseconds that a leaf takes to accept a connection, beside the way there
-// and back.
+// Time in microseconds that a leaf takes to accept a connection, without the
+// network round trip.
 constexpr double kConnectCost = 6'000.0;
 
 // In microseconds.
@@ -117,7 +122,8 @@
     if (readiness == upstream::Readiness::kFull) {
       continue;
     }
-    // Jitter of up to a tenth spreads the daemons over leaves that look alike.
+    // Jitter of up to 10% spreads the daemons over leaves with similar
+    // estimates.
     double time = Expect(*leaf, need, now) * (1.0 + 0.1 * random_->Unit());
     if (readiness == upstream::Readiness::kMustConnect &&
         ablation_.has(Mechanism::kConnectCost)) {
@@ -353,7 +359,7 @@
   if (work.typical == 0.0) {
     work.typical = time;
   }
-  // Stragglers must not raise what counts as typical.
+  // Bounded so that stragglers don't raise the typical time.
   const double bounded = std::min(time, 3.0 * work.typical);
   work.typical += kTypicalWeight * (bounded - work.typical);
 }
--- a/src/routing/leaf_tracker.h
+++ b/src/routing/leaf_tracker.h
@@ -1,22 +1,23 @@
-// What this daemon's own requests tell of the leaves, and what other daemons
-// say of them, and which leaf of a collection the next request goes to: the one
-// with the earliest expected reply.
+// Tracks the health of the leaves, from this daemon's own requests and from the
+// reports of other daemons, and chooses the leaf of a collection with the
+// earliest expected reply.
 //
-// The estimate of a reply adds up
-//   - the distance to the leaf's failure domain, from the fastest replies seen
-//     from there and from here,
-//   - the work, from the replies of that class of work, times how much slower
-//     than others this leaf was of late, times what it has in work already,
-//   - what is known to be wrong: an overdue request (the leaf stands still), a
-//     request given up after it was overdue, failures, a cold start,
-//   - a new connection, where none is open.
-// What other daemons say changes no more than the same figures, so that it can
-// make leaves look dearer than they are but never leave a collection without.
+// The expected reply time is the sum of
+//   - the network distance to the leaf's failure domain, estimated from the
+//     fastest replies from there and from the own domain,
+//   - the typical service time of the request's class, multiplied by the leaf's
+//     recent slowness compared to others and by its requests in flight,
+//   - penalties for an overdue request (the leaf may have stalled), a request
+//     that timed out, recent failures and a cold start,
+//   - the time to connect if no connection is open.
+// Reports from other daemons only change these estimates. They can make a leaf
+// look worse than it is but never leave a collection without a usable leaf.
 //
-// A leaf whose address has been taken over by another one gets nothing more,
-// however the others look: the request would reach a leaf that nobody counts it
-// for. Each leaf here is one start of a process, so that is final. Only in case
-// the word was wrong one request asks again, now and then.
+// A leaf whose address has been taken over by another leaf gets no more
+// requests, however bad the other leaves are: a request would reach a leaf
+// whose load nobody accounts for it. Each leaf here is one process start, so a
+// replacement is final. A single probe request is still sent now and then, in
+// case the leaf was marked as replaced by mistake.
 //
 // Not thread-safe; used on the traffic thread.
 
@@ -44,22 +45,23 @@
 
 namespace medlarspread::routing {
 
-// Where this daemon runs.
+// The region and failure domain that this daemon runs in.
 struct Place {
   std::string region;
   std::string failure_domain;
 };
 
-// What a request needs of its leaf.
+// Properties of a request that affect the choice of its leaf.
 struct LeafNeed {
-  // Its class of work.
+  // Class of the request.
   std::string class_name;
-  // Within this time it should be answered.
+  // Latency target.
   base::Duration target{};
-  // Whether it may be sent again after a failure that may have run.
+  // Whether the request may be sent again after a failed attempt that may have
+  // run.
   bool is_repeatable = true;
-  // Whether the caller can do without this reply: then it isn't sent to a leaf
-  // that would answer late.
+  // Whether the caller can do without this reply. Such a request isn't sent to
+  // a leaf that is expected to answer late.
   bool is_optional = false;
 };
 
@@ -70,56 +72,56 @@
               std::shared_ptr<base::Random> random,
               base::Ablation ablation = {});
 
-  // Whether the caller of Choose() takes a leaf at all.
+  // Whether the caller of Choose() accepts the leaf at all.
   using MayUse = std::function<bool(const blackboard::Upstream&)>;
   using ReadinessOf =
       std::function<upstream::Readiness(const blackboard::Upstream&)>;
 
-  // The leaf with the earliest expected reply, what a failure would cost
-  // included, or null if none of `leaves` may be sent to now.
+  // The leaf with the earliest expected reply, including the expected cost of a
+  // failure, or null if no request may be sent to any of `leaves` now.
   const blackboard::Upstream* Choose(const LeafIndex::Leaves& leaves,
                                      const LeafNeed& need,
                                      const MayUse& may_use,
                                      const ReadinessOf& readiness_of);
-  // What a request of the class takes at a leaf that has nothing else to do for
-  // this daemon; zero until replies have shown it.
+  // Service time of a request of the class at a leaf that serves no other
+  // request of this daemon; zero until measured.
   base::Duration WorkAlone(const std::string& class_name) const;
-  // How long after a send to the leaf a second one to another leaf pays.
-  // `first_delay` holds until enough replies of the class have been seen.
+  // How long after a send to the leaf a second send to another leaf is
+  // worthwhile. `first_delay` is used until enough replies of the class have
+  // been measured.
   base::Duration SecondSendDelay(const blackboard::Upstream& leaf,
                                  const std::string& class_name,
                                  base::Duration first_delay) const;
 
   void DidSend(const blackboard::Upstream& leaf, base::MonotonicTime now);
-  // The end of a request that was sent at `sent`, in time for its target or
-  // not.
+  // A request sent at `sent` ended, within its latency target or not.
   void DidReply(const blackboard::Upstream& leaf,
                 const std::string& class_name,
                 base::MonotonicTime sent,
                 bool is_in_time,
                 const upstream::ForwardReply& reply);
-  // A request sent at `sent` was cancelled: it says nothing of the leaf.
+  // A request sent at `sent` was cancelled, which says nothing about the leaf.
   void DidCancel(const blackboard::Upstream& leaf, base::MonotonicTime sent);
-  // Whether the reply to a request sent at `sent` is worth waiting for although
-  // nobody needs it: it shows when the leaf is back, and one such reply shows
-  // as much as many. False if another one is waited for already.
+  // Whether to keep waiting for the reply to a request sent at `sent` although
+  // it is no longer needed. The reply shows when the leaf has recovered, and
+  // one is enough for that, so this returns false while another one is awaited.
   bool AwaitLateReply(const blackboard::Upstream& leaf,
                       base::MonotonicTime sent);
-  // A request sent at `sent` was cancelled because its target has passed: all
-  // that is known is that its reply would have been late.
+  // A request sent at `sent` was cancelled because its latency target has
+  // passed. It only shows that the reply would have been late.
   void DidGiveUp(const blackboard::Upstream& leaf, base::MonotonicTime sent);
-  // A request was overdue `age` after it was sent.
+  // A request was still unanswered and overdue `age` after it was sent.
   void DidStall(const blackboard::Upstream& leaf,
                 const std::string& class_name,
                 base::Duration age);
 
-  // What this daemon found since the last call, of leaves that it seldom sends
-  // to.
+  // This daemon's findings since the last call about leaves that it rarely
+  // sends to.
   std::vector<LeafReport> TakeReports();
-  // What others found of a leaf.
+  // Takes in another daemon's findings about a leaf.
   void DidHear(const LeafReport& report);
 
-  // Whether another leaf has the address of this one, as far as is known.
+  // Whether another leaf is known to have taken over the address of this one.
   bool is_replaced(const blackboard::Upstream& leaf) const;
 
   // Forgets the leaves that are no longer in `view`.
@@ -127,33 +129,34 @@
 
  private:
   struct Row {
-    // When the requests in flight were sent.
+    // Send times of the requests in flight.
     std::multiset<base::MonotonicTime> in_flight;
-    // Time of replies divided by what is typical of their class.
+    // Time of recent replies relative to the typical time of their class.
     double slowness = 1.0;
     base::MonotonicTime slowness_at;
-    // Share of the replies of late that were failures or refusals, 0 to 1.
+    // Share of recent replies that were failures or refusals, from 0 to 1.
     double failure_share = 0.0;
     base::MonotonicTime failure_share_at;
     int failures_in_a_row = 0;
     int stalls_in_a_row = 0;
     base::MonotonicTime avoid_until;
     base::MonotonicTime stalled_until;
-    // Set while the leaf counts as replaced: when one request may ask again.
+    // Set while the leaf counts as replaced: when the next probe may be sent.
     std::optional<base::MonotonicTime> ask_again_at;
     LeafPace pace;
-    // When the request that is waited for without need was sent.
+    // Send time of the request whose reply is awaited only as a sign of
+    // recovery.
     std::optional<base::MonotonicTime> late_reply;
-    // Replies of this daemon's requests of late.
+    // Exponentially decaying count of replies to this daemon's requests.
     double recent_replies = 0.0;
     base::MonotonicTime recent_replies_at;
   };
   struct Work {
     admission::SecondSendPolicy second_sends;
-    // Microseconds; 0 until a reply was seen.
+    // Typical service time in microseconds; 0 until the first reply.
     double typical = 0.0;
-    // The same of requests that were alone at their leaf: it stays what it is
-    // while requests queue.
+    // The same for requests that were the only ones at their leaf, so that
+    // queueing at the leaf doesn't affect it.
     double alone = 0.0;
   };
 
@@ -162,26 +165,27 @@
   double Expect(const blackboard::Upstream& leaf,
                 const LeafNeed& need,
                 base::MonotonicTime now) const;
-  // Microseconds that a reply from the domain takes longer than one from the
-  // nearest.
+  // Extra time in microseconds of a reply from the leaf's failure domain over
+  // one from the own domain.
   double Distance(const blackboard::Upstream& leaf) const;
   double Slowness(const Row& row, base::MonotonicTime now) const;
   double FailureShare(const Row& row, base::MonotonicTime now) const;
-  // Moves the share of failures towards `share`, by `weight` for each of so
-  // many replies.
+  // Moves the failure share towards `share`, by `weight` for each of `replies`
+  // replies.
   void LearnFailures(Row& row,
                      double share,
                      double weight,
                      int replies,
                      base::MonotonicTime now) const;
-  // A reply took `ratio` times what is typical of its class.
+  // A reply took `ratio` times the typical time of its class.
   void LearnSlowness(Row& row,
                      double ratio,
                      double weight,
                      base::MonotonicTime now) const;
   static void LearnTypical(Work& work, double time);
   double TypicalOf(const std::string& class_name) const;
-  // Notes a reply to be told to others, if this daemon sends there seldom.
+  // Records a reply for the reports to other daemons, if this daemon rarely
+  // sends to the leaf.
   void Note(const blackboard::Upstream& leaf,
             const std::string& class_name,
             bool is_failure,
@@ -190,7 +194,7 @@
              const std::string& class_name,
              base::Duration time);
   void DidFail(Row& row, base::Duration retry_after);
-  // Whether the leaf counts as replaced and is not due to be asked again.
+  // Whether the leaf counts as replaced and its next probe is not due yet.
   bool MustNotSend(const blackboard::Upstream& leaf,
                    base::MonotonicTime now) const;
 
@@ -200,9 +204,9 @@
   const base::Ablation ablation_;
   std::unordered_map<std::string, Row> rows_;
   std::unordered_map<std::string, Work> work_;
-  // To be told, by leaf and class.
+  // Pending reports by leaf and class.
   std::map<std::pair<std::string, std::string>, LeafReport> reports_;
-  // The fastest reply of late from each failure domain, in microseconds.
+  // The fastest recent reply from each failure domain, in microseconds.
   std::map<std::string, double> fastest_;
 };
 
--- a/src/routing/leaf_windows.cc
+++ b/src/routing/leaf_windows.cc
@@ -1,4 +1,4 @@
-// A mutex around the windows of all leaves.
+// Map of the leaves' windows that is guarded by a mutex.
 
 #include "src/routing/leaf_windows.h"
 
@@ -69,8 +69,8 @@
   }
   row.window.Release();
   const base::MonotonicTime now = clock_.Now();
-  // Only answers and refusals tell about the leaf's load: a lost connection
-  // that fails at once must not pass for a fast leaf.
+  // Only answers and refusals indicate the leaf's load: a connection that fails
+  // immediately must not be taken for a fast reply.
   if (reply.outcome == upstream::LeafOutcome::kAnswered || IsShed(reply)) {
     row.window.DidReply(reply.service_time, IsShed(reply), now);
   }
--- a/src/routing/leaf_windows.h
+++ b/src/routing/leaf_windows.h
@@ -1,6 +1,5 @@
-// The limits on requests in flight of all leaves that this daemon sends to.
-// Shared by the dispatchers, because a leaf may serve several of them while
-// shards move.
+// The in-flight limits of all leaves that this daemon sends to. Shared by the
+// dispatchers, because a leaf may serve several of them while shards move.
 
 #ifndef MEDLARSPREAD_ROUTING_LEAF_WINDOWS_H_
 #define MEDLARSPREAD_ROUTING_LEAF_WINDOWS_H_
@@ -22,9 +21,9 @@
  public:
   LeafWindows(Policy policy, base::Clock clock);
 
-  // Takes one place at the leaf; false if it has none free.
+  // Takes one slot at the leaf; returns false if none is free.
   bool TryAcquire(const blackboard::Upstream& upstream);
-  // Gives the place back with what the reply said.
+  // Returns the slot and updates the leaf's limit from the reply.
   void Release(const std::string& upstream, const upstream::LeafReply& reply);
 
   bool has_room(const blackboard::Upstream& upstream);
@@ -34,14 +33,16 @@
  private:
   struct Row {
     admission::LeafWindow window;
-    // Only for the baseline without limits, which bypasses the window.
+    // Used only by RandomReplicaPolicy, which has no limit and bypasses the
+    // window.
     int unlimited_in_flight = 0;
-    // The cold start that the window already knows of.
+    // The cold start that the window has already been told of.
     base::MonotonicTime cold_since;
   };
 
   Row& RowOf(const blackboard::Upstream& upstream);
-  // Brings the leaf in slowly if it has become cold since it was last used.
+  // Restarts the window's slow start if the leaf has had a cold start since its
+  // last use.
   static void NoteColdStart(const blackboard::Upstream& upstream, Row& row);
 
   const Policy policy_;
--- a/src/routing/load_table.cc
+++ b/src/routing/load_table.cc
@@ -1,4 +1,4 @@
-// Expected waits and network times, aged as they are read.
+// Expected waits and network times; waits are aged on reading.
 
 #include "src/routing/load_table.h"
 
@@ -9,11 +9,11 @@
 
 namespace {
 
-// Before anything was heard: a hop inside a region and one between regions.
+// Used until the first reply: round trips inside a region and between regions.
 constexpr base::Duration kOwnRegionGuess = base::Milliseconds(1);
 constexpr base::Duration kOtherRegionGuess = base::Milliseconds(20);
 constexpr double kNetworkWeight = 0.1;
-// How long the news of a slow leaf holds without being repeated.
+// How long a report of a slow leaf stays valid.
 constexpr base::Duration kExcessLifetime = base::Milliseconds(5000);
 
 }  // namespace
@@ -46,8 +46,9 @@
     return base::Duration::zero();
   }
   const base::Duration age = clock_.Now() - row->second.heard;
-  // A queue empties as time passes; a leaf stays slow until it is seen to be
-  // fast again, so now and then a request has to go and see.
+  // A queue drains over time, but a leaf stays slow until a reply shows that it
+  // has recovered. The excess therefore expires, so that a request probes the
+  // region from time to time.
   const base::Duration excess = age < kExcessLifetime
                                     ? row->second.service_excess
                                     : base::Duration::zero();
--- a/src/routing/load_table.h
+++ b/src/routing/load_table.h
@@ -1,6 +1,6 @@
-// What this daemon has lately heard of the queues in each region, and how far
-// away each region is. Both ride on the replies of the queue owners, so they
-// cost no messages of their own.
+// The recent load of the queues in each region and the network time to each
+// region. Both are taken from the replies of the queue owners, so they need no
+// extra messages.
 
 #ifndef MEDLARSPREAD_ROUTING_LOAD_TABLE_H_
 #define MEDLARSPREAD_ROUTING_LOAD_TABLE_H_
@@ -21,8 +21,8 @@
  public:
   explicit LoadTable(base::Clock clock);
 
-  // A reply to a request of `class_name` for the shard at `low` came from
-  // `region` after `network` on the way, both directions together.
+  // A reply to a request of `class_name` for the shard whose range starts at
+  // `low` came from `region`. `network` is the round trip.
   void DidHear(const std::string& collection,
                const std::string& class_name,
                std::int32_t low,
@@ -30,15 +30,15 @@
                const ShardLoad& load,
                base::Duration network);
 
-  // Expected wait of a request of `class_name` in the shard's queue. It counts
-  // down as the news age: a queue that takes nothing new in empties at that
-  // pace.
+  // Expected wait of a request of `class_name` in the shard's queue. The last
+  // reported value is reduced by its age, since a queue without new requests
+  // drains at that rate.
   base::Duration ExpectedWait(const std::string& collection,
                               const std::string& class_name,
                               std::int32_t low,
                               const std::string& region) const;
 
-  // Round trip to the owners in `region`.
+  // Round trip time to the queue owners in `region`.
   base::Duration NetworkTime(const std::string& region,
                              bool is_own_region) const;
 
--- a/src/routing/peer_health.cc
+++ b/src/routing/peer_health.cc
@@ -1,4 +1,4 @@
-// Failures in a row and the pauses that follow from them.
+// Exponential backoff per peer.
 
 #include "src/routing/peer_health.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A restarted daemon is back within a second or two.
+// A restarting daemon is available again within one or two seconds.
 constexpr base::Duration kFirstPause = base::Milliseconds(1'000);
 constexpr int kMostDoublings = 3;
 
--- a/src/routing/peer_health.h
+++ b/src/routing/peer_health.h
@@ -1,8 +1,9 @@
-// Which peers this daemon leaves alone because they did not answer.
+// Tracks the peers that this daemon temporarily avoids because they failed.
 //
-// A daemon that hands requests over sees a peer a few times a second, and each
-// request lost to a dead one is late. So one failure is enough to go elsewhere
-// for a second; the time doubles with each further one in a row.
+// A daemon that hands requests over contacts a peer only a few times a second,
+// and each request sent to a dead peer is late. One failure is therefore enough
+// to avoid the peer for a second; the time doubles with each further failure in
+// a row.
 //
 // Not thread-safe; used on the traffic thread.
 
@@ -22,7 +23,7 @@
 
   bool is_avoided(const std::string& peer) const;
   void DidAnswer(const std::string& peer);
-  // It failed, was overdue or refused. Returns for how long it is left alone.
+  // The peer failed, was overdue or refused. Returns how long it is avoided.
   base::Duration DidFail(const std::string& peer);
 
  private:
@@ -32,7 +33,7 @@
   };
 
   const base::Clock clock_;
-  // Invariant: a row only for peers whose last request failed.
+  // Invariant: has a row only for peers whose last request failed.
   std::map<std::string, Row> rows_;
 };
 
--- a/src/routing/policy.cc
+++ b/src/routing/policy.cc
@@ -1,4 +1,4 @@
-// Visitors over the routing policies.
+// Properties of the queueing policies.
 
 #include "src/routing/policy.h"
 
@@ -38,8 +38,8 @@
                      blackboard::KeyRange range) {
   const auto* owner_policy = std::get_if<QueueOwnerPolicy>(&policy);
   const int bundles = owner_policy == nullptr ? 1 : owner_policy->bundles;
-  // NOTE: the bundle depends on the range alone, so that a repartition that
-  // splits a shard leaves the parts with the same owner as far as possible.
+  // NOTE: the bundle depends on the range alone, so that the parts of a shard
+  // that is split by a repartition keep their owner where possible.
   const auto bundle =
       static_cast<std::int64_t>(range.low) * bundles / blackboard::kKeySpace;
   return collection + "/" + region + "/" + std::to_string(bundle);
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -1,5 +1,5 @@
-// The ways in which work can wait for a leaf. kQueueOwner is the product's way;
-// the other two are baselines that the benchmarks measure it against.
+// Queueing policies: where requests wait for a leaf. QueueOwnerPolicy is used
+// in production; the other two are baselines for the benchmarks.
 
 #ifndef MEDLARSPREAD_ROUTING_POLICY_H_
 #define MEDLARSPREAD_ROUTING_POLICY_H_
@@ -13,30 +13,33 @@
 
 namespace medlarspread::routing {
 
-// One daemon per bundle and region holds the queue for the leaves there.
+// One daemon per bundle and region owns the queues for the leaves there. A
+// bundle is a contiguous part of a collection's key space.
 struct QueueOwnerPolicy {
-  // Into how many bundles the key space of a collection is cut.
+  // Number of bundles that the key space of a collection is divided into.
   int bundles = 8;
 };
 
-// Every daemon has a fixed share of one request in flight at each leaf and
-// queues the rest for itself.
+// Every daemon may have one request in flight at each leaf and queues the rest
+// locally.
 struct FixedSharePolicy {};
 
-// Every daemon sends at once to a random replica; the queue is at the leaf.
+// Every daemon sends immediately to a random replica; requests queue at the
+// leaf.
 struct RandomReplicaPolicy {};
 
 using Policy =
     std::variant<QueueOwnerPolicy, FixedSharePolicy, RandomReplicaPolicy>;
 
-// Ranges of one collection and region that share this key share their owners.
+// Key that identifies a bundle in a region. Ranges with the same key have the
+// same queue owners.
 std::string OwnerKey(const Policy& policy,
                      const std::string& collection,
                      const std::string& region,
                      blackboard::KeyRange range);
 
-// The daemons of `region` that may hold the queues of `owner_key`, best first;
-// empty if no daemon of that region is live.
+// The daemons of `region` that may own the queues of `owner_key`, in order of
+// preference; empty if no daemon of that region is live.
 std::vector<std::string> RankOwners(const Policy& policy,
                                     const blackboard::MembershipView& view,
                                     const std::string& region,
@@ -47,20 +50,21 @@
                const blackboard::MembershipView& view,
                const blackboard::Upstream& upstream);
 
-// Requests that a queue owner keeps at a leaf beyond its slots, so that a slot
-// that becomes free has work at once and not only after a round trip.
+// Requests that a queue owner keeps in flight at a leaf beyond its slots, so
+// that a freed slot has work immediately and not only after a round trip.
 constexpr int kInPipe = 1;
 
-// How many requests the daemon may keep in flight at a leaf at the most.
+// Most requests that the daemon may keep in flight at a leaf.
 int InFlightLimit(const Policy& policy, const blackboard::Upstream& upstream);
 
-// The order in which queued requests get a free place.
+// The order in which queued requests are sent.
 admission::UrgencyOrder OrderOf(const Policy& policy);
 
-// Whether entries are told how long requests wait, to refuse some at once.
+// Whether expected waits are reported to the daemons that receive requests from
+// callers, so that these can refuse requests early.
 bool HasEntryGate(const Policy& policy);
 
-// Whether a late shard is asked of a second replica.
+// Whether late requests are also sent to a second replica.
 bool HasSecondSends(const Policy& policy);
 
 }  // namespace medlarspread::routing
--- a/src/routing/replica_index.h
+++ b/src/routing/replica_index.h
@@ -1,6 +1,6 @@
-// Which leaves can answer for a shard, looked up by snapshot and range. Built
-// once for each published view of the upstreams, because scanning all leaves
-// for every shard request would cost more than the request.
+// Index of the leaves that hold a shard, by snapshot and range. Built once per
+// published view of the upstreams, because scanning all leaves for every shard
+// request would cost more than the request itself.
 
 #ifndef MEDLARSPREAD_ROUTING_REPLICA_INDEX_H_
 #define MEDLARSPREAD_ROUTING_REPLICA_INDEX_H_
@@ -35,7 +35,7 @@
   const std::map<ShardKey, Replicas>& shards() const { return shards_; }
 
  private:
-  // Keeps alive what `shards_` points to.
+  // Owns the upstreams that `shards_` points to.
   std::shared_ptr<const blackboard::UpstreamsView> view_;
   std::map<ShardKey, Replicas> shards_;
 };
--- a/src/routing/replica_pool.cc
+++ b/src/routing/replica_pool.cc
@@ -1,4 +1,4 @@
-// Choice of replicas by room and share of places taken.
+// Chooses replicas by free capacity and utilization.
 
 #include "src/routing/replica_pool.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Small beside one place of any leaf, so that it only decides ties.
+// Smaller than the share of one slot of any leaf, so that it only decides ties.
 constexpr double kTieBreak = 0.01;
 
 }  // namespace
--- a/src/routing/replica_pool.h
+++ b/src/routing/replica_pool.h
@@ -1,5 +1,5 @@
-// The replicas that one dispatcher may send to, and the choice among those that
-// have room.
+// The replicas that one dispatcher may send to, and the choice among those with
+// free capacity.
 
 #ifndef MEDLARSPREAD_ROUTING_REPLICA_POOL_H_
 #define MEDLARSPREAD_ROUTING_REPLICA_POOL_H_
@@ -19,7 +19,7 @@
 
 namespace medlarspread::routing {
 
-// Used on one sequence. Pointers that it returns are valid until the next call.
+// Used on one sequence. Returned pointers are valid until the next call.
 class ReplicaPool {
  public:
   // `blackboard` must outlive the pool.
@@ -29,27 +29,30 @@
               std::shared_ptr<base::Random> random,
               std::shared_ptr<LeafWindows> windows);
 
-  // Whether a request that has tried some leaves may go to `upstream`.
+  // Whether a request that has already been sent to the leaves `tried` may go
+  // to `upstream`.
   bool MayUse(const std::set<std::string>& tried,
               const blackboard::Upstream& upstream) const;
 
   // Whether any replica of the shard is left for such a request.
   bool HasUsable(const ShardKey& shard, const std::set<std::string>& tried);
 
-  // The replica with room that has the smallest share of its places taken, or
-  // null. A tie is broken at random, so that daemons don't all pick the same.
+  // The replica with the lowest utilization of its in-flight limit, or null if
+  // none has free capacity. Ties are broken at random, so that daemons don't
+  // all pick the same replica.
   const blackboard::Upstream* Pick(const ShardKey& shard,
                                    const std::set<std::string>& exhausted);
 
   // The replicas that this daemon may send to.
   std::vector<const blackboard::Upstream*> UsableOf(const ShardKey& shard);
 
-  // How many requests may be in flight at the replica now.
+  // Current in-flight limit of the replica.
   int LimitOf(const blackboard::Upstream& replica) {
     return windows_->limit(replica);
   }
 
-  // Adds up what is in flight at the replicas, and how much may be.
+  // Adds the requests in flight at the shard's replicas and their limits to
+  // `load`.
   void CountPlaces(const ShardKey& shard, ShardLoad& load);
 
  private:
--- a/src/routing/route_table.cc
+++ b/src/routing/route_table.cc
@@ -1,4 +1,4 @@
-// The index of the routes by host.
+// Index of the routes by host and prefix length.
 
 #include "src/routing/route_table.h"
 
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Host names are compared without regard to case.
+// Strips the port and converts to lower case, since host names are
+// case-insensitive.
 std::string NormalizeHost(std::string_view host) {
   std::string name(host.substr(0, host.find(':')));
   std::transform(name.begin(), name.end(), name.begin(), [](unsigned char c) {
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -1,5 +1,5 @@
-// Finds the route of a request: among the routes of its host, the one with the
-// longest prefix that begins the path.
+// Finds the route of a request: the route of its host with the longest prefix
+// of the path.
 
 #ifndef MEDLARSPREAD_ROUTING_ROUTE_TABLE_H_
 #define MEDLARSPREAD_ROUTING_ROUTE_TABLE_H_
@@ -20,15 +20,15 @@
 
   explicit RouteTable(std::shared_ptr<const blackboard::RoutesView> view);
 
-  // `host` may be followed by a port; `target` by a query. Null if no route
-  // takes the request.
+  // `host` may include a port and `target` a query string. Null if no route
+  // matches the request.
   RoutePointer Find(std::string_view host, std::string_view target) const;
 
   const blackboard::RoutesView& view() const { return *view_; }
 
  private:
   const std::shared_ptr<const blackboard::RoutesView> view_;
-  // By host in lower case; the longest prefix first.
+  // By lower-case host; the routes with the longest prefix first.
   std::unordered_map<std::string, std::vector<RoutePointer>> hosts_;
 };
 
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -1,4 +1,5 @@
-// Earliest expected finish over the regions that hold the shard.
+// Chooses the region with the shortest expected delay among those that hold the
+// shard.
 
 #include "src/routing/router.h"
 
@@ -50,7 +51,7 @@
   const auto view = blackboard_.membership.Read();
   const auto ranked =
       OwnersOf(region, OwnerKey(policy_, collection, region, shard.range));
-  // A suspect is better than nobody, so it is only passed over.
+  // A suspect daemon is still better than none, so it is used as a fallback.
   std::optional<std::string> suspect;
   for (const std::string& name : *ranked) {
     if (exclusions.owners.contains(name)) {
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,5 +1,5 @@
-// Chooses for a shard the region whose leaves are likely to answer first, and
-// the daemon there that owns its queue.
+// Chooses the region whose leaves are expected to answer first for a shard, and
+// the daemon there that owns the shard's queue.
 
 #ifndef MEDLARSPREAD_ROUTING_ROUTER_H_
 #define MEDLARSPREAD_ROUTING_ROUTER_H_
@@ -22,15 +22,15 @@
 
 namespace medlarspread::routing {
 
-// Where to ask for a shard.
+// Where to send the request for a shard.
 struct Destination {
   std::string region;
   std::string owner;
-  // Until the answer is there, without the leaf's own time.
+  // Expected time until the answer, without the leaf's service time.
   base::Duration expected_delay{};
 };
 
-// Regions and daemons that have failed a request already.
+// Regions and daemons at which the request has already failed.
 struct Exclusions {
   std::set<std::string> regions;
   std::set<std::string> owners;
@@ -41,19 +41,20 @@
  public:
   using IsSuspect = std::function<bool(const std::string& peer)>;
 
-  // `is_suspect` says of a daemon that it owes replies and has gone silent.
+  // `is_suspect` tells whether a daemon has replies outstanding and has sent
+  // nothing recently.
   Router(Policy policy,
          const blackboard::Blackboard& blackboard,
          std::shared_ptr<LoadTable> loads,
          IsSuspect is_suspect);
 
-  // Nothing if no region that is left has both a replica and a live daemon.
+  // Nothing if no remaining region has both a replica and a live daemon.
   std::optional<Destination> Choose(const std::string& collection,
                                     const std::string& class_name,
                                     const ShardKey& shard,
                                     const Exclusions& exclusions);
 
-  // The replicas by shard of `collection`, from the latest view.
+  // The replicas of `collection` by shard, from the latest view.
   std::shared_ptr<const ReplicaIndex> IndexOf(const std::string& collection);
 
   const std::shared_ptr<LoadTable>& loads() const { return loads_; }
@@ -63,8 +64,9 @@
                                        const std::string& region,
                                        const ShardKey& shard,
                                        const Exclusions& exclusions);
-  // The ranking from the cache, which lasts as long as the membership view:
-  // ranking 1,500 daemons for each of 200 shards would dominate a query.
+  // The ranking of owners, cached as long as the membership view is unchanged:
+  // ranking 1,500 daemons for each of 200 shards would dominate the cost of a
+  // query.
   std::shared_ptr<const std::vector<std::string>> OwnersOf(
       const std::string& region,
       const std::string& owner_key);
--- a/src/routing/shard_job.cc
+++ b/src/routing/shard_job.cc
@@ -1,4 +1,4 @@
-// The message to a leaf, made from a shard request.
+// Converts a shard request into a request to a leaf.
 
 #include "src/routing/shard_job.h"
 
--- a/src/routing/shard_job.h
+++ b/src/routing/shard_job.h
@@ -17,7 +17,7 @@
 
 namespace medlarspread::routing {
 
-// One send to one leaf that has not come back.
+// One send to one leaf that has no reply yet.
 struct ShardAttempt {
   std::string id;
   blackboard::Upstream upstream;
@@ -29,18 +29,20 @@
   ShardCallback done;
   base::MonotonicTime arrived;
   std::vector<ShardAttempt> attempts;
-  // Leaves that this request must not go to again.
+  // Leaves that this request must not be sent to again.
   std::set<std::string> tried;
   int sends = 0;
   int retries = 0;
   bool did_second_send = false;
-  // Invariant: a job stands in the queue at most once at a time.
+  // Invariant: a job is in the queue at most once at a time.
   bool is_queued = false;
-  // Waits out of the queue until a leaf that shed may be asked again.
+  // Waits outside the queue until the request may be retried at a leaf that
+  // shed it.
   bool is_backing_off = false;
   // A second send to another region that has not answered yet.
   bool is_forwarded = false;
-  // Set once an attempt ended without a reply that excludes a run.
+  // Set once an attempt ended without a reply that rules out that the request
+  // ran.
   bool may_have_run = false;
   base::Error last_error;
   base::Duration retry_after{};
@@ -48,13 +50,13 @@
   base::Timer deadline;
 
   ShardKey key() const { return {request.snapshot, request.range}; }
-  // Whether an answer may still come without anything being done.
+  // Whether an answer may still arrive without further action.
   bool is_pending() const {
     return !attempts.empty() || is_queued || is_backing_off || is_forwarded;
   }
 };
 
-// What a leaf is sent for one attempt that starts `now`.
+// Builds the request to a leaf for an attempt that starts at `now`.
 upstream::LeafRequest MakeLeafRequest(const ShardRequest& request,
                                       const std::string& attempt_id,
                                       base::MonotonicTime now);
--- a/src/routing/shard_load_estimator.cc
+++ b/src/routing/shard_load_estimator.cc
@@ -1,4 +1,5 @@
-// Estimates from the running mean of service times and the queue's order.
+// Estimates the wait from the running means of service times and the order of
+// the queue.
 
 #include "src/routing/shard_load_estimator.h"
 
@@ -13,7 +14,7 @@
 using base::Duration;
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-// Behind every queued request that is due at the same time.
+// Sorts a new request behind all queued requests that are due at the same time.
 constexpr std::uint64_t kNewcomer = std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace
@@ -50,8 +51,9 @@
   if (!HasEntryGate(policy_) || replicas.empty()) {
     return load;
   }
-  // Each replica completes requests at its own pace. The fastest decides how
-  // much longer than elsewhere an answer takes once it has a place.
+  // Each replica completes requests at its own rate. The smallest excess over
+  // the typical service time determines how much longer than elsewhere a
+  // request takes once it is sent.
   double completions_per_second = 0.0;
   std::optional<Duration> least_excess;
   for (const auto* replica : replicas) {
--- a/src/routing/shard_load_estimator.h
+++ b/src/routing/shard_load_estimator.h
@@ -1,4 +1,5 @@
-// How full a shard's queue is and how long a new request would wait in it.
+// Estimates the length of a shard's queue and how long a new request would wait
+// in it.
 
 #ifndef MEDLARSPREAD_ROUTING_SHARD_LOAD_ESTIMATOR_H_
 #define MEDLARSPREAD_ROUTING_SHARD_LOAD_ESTIMATOR_H_
@@ -25,14 +26,14 @@
                      ReplicaPool& replicas,
                      const ShardQueues& queues);
 
-  // An answer took so long from the send to the reply.
+  // An answer arrived `service_time` after the send.
   void DidAnswer(const std::string& leaf, base::Duration service_time);
 
-  // An attempt was cancelled after so long without an answer.
+  // An attempt was cancelled after `time` without an answer.
   void DidTakeAtLeast(const std::string& leaf, base::Duration time);
 
-  // For the next request of the class that `request` is of. Its wait is left at
-  // zero under a policy whose entries do not ask for it.
+  // The load that a new request of the same class as `request` would meet. The
+  // expected wait stays zero under policies without an entry gate.
   ShardLoad LoadOf(const ShardRequest& request);
 
  private:
--- a/src/routing/shard_queues.cc
+++ b/src/routing/shard_queues.cc
@@ -1,4 +1,4 @@
-// Bookkeeping of the queues of one collection.
+// Creates queues on first use and erases them when they are idle.
 
 #include "src/routing/shard_queues.h"
 
--- a/src/routing/shard_queues.h
+++ b/src/routing/shard_queues.h
@@ -1,5 +1,5 @@
-// The queues of all shards of one collection that have work, and how many
-// requests of each are at a leaf.
+// The queues of all shards of one collection, and the number of requests of
+// each shard that are at a leaf.
 
 #ifndef MEDLARSPREAD_ROUTING_SHARD_QUEUES_H_
 #define MEDLARSPREAD_ROUTING_SHARD_QUEUES_H_
@@ -17,7 +17,7 @@
 
 namespace medlarspread::routing {
 
-// Used on one sequence, but for the totals.
+// Used on one sequence, except for the totals.
 class ShardQueues {
  public:
   ShardQueues(const blackboard::Blackboard& blackboard,
@@ -37,14 +37,14 @@
                               const admission::QueueItem& item,
                               double completions_per_second) const;
 
-  // A request of the shard went to a leaf, or came back from it.
+  // A request of the shard was sent to a leaf, or ended there.
   void DidSend(const ShardKey& key);
   void DidFinish(const ShardKey& key);
 
   std::size_t queued(const ShardKey& key) const;
   std::vector<ShardKey> keys() const;
 
-  // Over all shards; safe to read from any thread.
+  // Totals over all shards; safe to read from any thread.
   int total_queued() const { return total_queued_.load(); }
   int total_running() const { return total_running_.load(); }
 
--- a/src/routing/shard_request.h
+++ b/src/routing/shard_request.h
@@ -1,5 +1,5 @@
-// One shard's part of a query, from the session that asks to the queue that
-// sends it to a leaf, and its outcome on the way back.
+// A request for one shard of a query, passed from the query session to the
+// queue that sends it to a leaf, and its result.
 
 #ifndef MEDLARSPREAD_ROUTING_SHARD_REQUEST_H_
 #define MEDLARSPREAD_ROUTING_SHARD_REQUEST_H_
@@ -15,30 +15,31 @@
 
 namespace medlarspread::routing {
 
-// Times are readings of the clock of the daemon that holds the request; they
-// travel between daemons as durations left.
+// Times are readings of the local clock. Messages between daemons carry them as
+// remaining durations.
 struct ShardRequest {
   std::string request_id;
   std::string class_name;
   std::string collection;
   blackboard::Snapshot snapshot;
   blackboard::KeyRange range;
-  // When the class's latency target is over, and when the caller gives up.
+  // When the latency target of the class passes, and when the caller stops
+  // waiting.
   base::MonotonicTime target_due;
   base::MonotonicTime deadline;
   // The caller's query as JSON text, shared by all shards of the request.
   std::shared_ptr<const std::string> query;
   // A second send on behalf of another region: goes to the head of the queue.
   bool is_hedge = false;
-  // Sent to one leaf once, never again after a byte may have left.
+  // Must not be sent again once a byte of it may have been sent.
   bool is_at_most_once = false;
 };
 
 enum class ShardOutcome {
   kAnswered,
-  // Not run: no replica here holds the snapshot any more.
+  // Not run: no usable replica holds the snapshot any more.
   kWrongSnapshot,
-  // Not run: given up in the queue or refused by the leaves.
+  // Not run: expired in the queue or refused by the leaves.
   kRefused,
   // May have run, but there is no answer.
   kUnknown,
@@ -46,28 +47,28 @@
 
 const char* ShardOutcomeName(ShardOutcome outcome);
 
-// How full the queue of one shard is at its owner.
+// Load of one shard's queue at its owner.
 struct ShardLoad {
   int queued = 0;
   int running = 0;
   int slots = 0;
-  // Expected wait of a request of the same class that arrives now.
+  // Expected wait of a new request of the same class.
   base::Duration expected_wait{};
-  // By how much the fastest replica here takes longer than leaves of the
-  // collection usually do; zero if it does not stand out.
+  // How much longer even the least slow replica takes than is typical for the
+  // collection; zero if it is not notably slower.
   base::Duration service_excess{};
 };
 
 struct ShardResult {
   ShardOutcome outcome = ShardOutcome::kUnknown;
-  // A JSON array as text; set only when answered.
+  // A JSON array as text; set only if answered.
   std::string items;
-  // The leaf that answered or failed last; empty if none was asked.
+  // The leaf that answered or failed last; empty if the request was never sent.
   std::string upstream;
-  // How many times the shard was sent to a leaf.
+  // Number of sends to leaves.
   int sends = 0;
   base::Duration service_time{};
-  // Time between arrival at the owner and this result.
+  // Time between the arrival at the owner and this result.
   base::Duration held{};
   base::Duration retry_after{};
   // Set unless answered.
--- a/src/routing/sub_query_client.cc
+++ b/src/routing/sub_query_client.cc
@@ -1,4 +1,4 @@
-// Matching of replies from queue owners.
+// Sending of sub-queries and matching of replies.
 
 #include "src/routing/sub_query_client.h"
 
@@ -76,7 +76,7 @@
   const auto status = peers_.send(
       request.owner, ToWire(id, request.common, request.ranges, clock_.Now()));
   if (!status.is_ok()) {
-    // Nothing left this daemon, so nothing ran.
+    // Nothing was sent, so nothing ran.
     FailAll(id, ShardOutcome::kRefused, status.error());
   }
 }
@@ -141,7 +141,7 @@
   }
   peer::wire::CancelSubQuery message;
   message.sub_query_id = static_cast<std::int64_t>(id);
-  // Best effort: the owner gives the work up at the deadline at the latest.
+  // Best effort: the owner drops the work at the deadline at the latest.
   (void)peers_.send(cancelled->request.owner, message);
 }
 
@@ -204,7 +204,7 @@
   for (const std::uint64_t id : lost) {
     FailAll(id, ShardOutcome::kUnknown,
             base::MakeError(ErrorCode::kConnectionLost, Step::kPeerLink, peer,
-                            "link lost with replies owed"));
+                            "link lost with replies outstanding"));
   }
 }
 
--- a/src/routing/sub_query_client.h
+++ b/src/routing/sub_query_client.h
@@ -1,7 +1,8 @@
-// Asks queue owners for shards, this daemon itself included, and matches their
-// replies. A reply counts only if it comes from the daemon that was asked and
-// names the sub-query, the request, the snapshot and a range that is still
-// owed; anything else is late, crossed or doubled and is dropped.
+// Sends sub-queries to queue owners, including this daemon itself, and matches
+// their replies. A reply is accepted only if it comes from the daemon that was
+// asked and names the sub-query, the request, the snapshot and a range that is
+// still outstanding. Any other reply is late, misdirected or a duplicate and is
+// dropped.
 
 #ifndef MEDLARSPREAD_ROUTING_SUB_QUERY_CLIENT_H_
 #define MEDLARSPREAD_ROUTING_SUB_QUERY_CLIENT_H_
@@ -38,8 +39,8 @@
 // Safe to use from any thread.
 class SubQueryClient : public std::enable_shared_from_this<SubQueryClient> {
  public:
-  // `first_id` must differ between incarnations, so that a reply meant for an
-  // earlier one is never taken.
+  // `first_id` must differ between incarnations, so that a reply to an earlier
+  // one is never accepted.
   SubQueryClient(std::uint64_t first_id,
                  base::Clock clock,
                  const blackboard::Blackboard& blackboard,
@@ -47,21 +48,21 @@
                  std::shared_ptr<DispatcherSet> dispatchers,
                  std::shared_ptr<LoadTable> loads);
 
-  // `callback` runs once per range, from any traffic thread, possibly before
-  // this returns; never for a range that was cancelled before. Sets no timer:
-  // an owner that stays silent is the caller's to notice.
+  // `callback` runs once per range, on any traffic thread, possibly before this
+  // returns; it does not run for ranges that were cancelled before. Sets no
+  // timer: the caller must detect an owner that doesn't reply.
   std::uint64_t Send(SubQueryRequest request, RangeCallback callback);
   void Cancel(std::uint64_t id);
 
   void DidReceive(const peer::Sender& sender,
                   const peer::wire::ShardReply& reply);
-  // All ranges that the peer owes end as unknown.
+  // All ranges outstanding at the peer end with kUnknown.
   void DidLosePeer(const std::string& peer);
 
-  // Whether the peer owes replies and nothing has been heard from it for
-  // kSilence: frozen, cut off or badly overloaded.
+  // Whether replies from the peer are outstanding and no message has arrived
+  // from it for kSilence, so that it may be frozen, unreachable or overloaded.
   bool is_silent(const std::string& peer) const;
-  // Any message from the peer is a sign of life.
+  // Records that any message arrived from the peer.
   void DidHearFrom(const std::string& peer);
 
   static constexpr base::Duration kSilence = base::Milliseconds(150);
@@ -73,19 +74,20 @@
     base::MonotonicTime sent;
     // Local job of each range; used only when this daemon is the owner.
     std::map<blackboard::KeyRange, std::uint64_t> jobs;
-    // Invariant: not empty. The ranges still owed.
+    // The ranges without a reply. Invariant: not empty.
     std::vector<blackboard::KeyRange> owed;
   };
 
   struct PeerActivity {
     base::MonotonicTime last_heard;
-    // Sub-queries that are owed, by the time they were sent.
+    // Identifiers of the sub-queries without a complete reply, by send time.
     std::multimap<base::MonotonicTime, std::uint64_t> owed;
   };
 
   void SendToSelf(std::uint64_t id, const SubQueryRequest& request);
   void SendToPeer(std::uint64_t id, const SubQueryRequest& request);
-  // Settles one owed range; false if it is not owed.
+  // Delivers the result of one outstanding range; false if the range is not
+  // outstanding.
   bool Settle(std::uint64_t id,
               const blackboard::KeyRange& range,
               ShardResult result);
--- a/src/routing/sub_query_server.cc
+++ b/src/routing/sub_query_server.cc
@@ -1,4 +1,4 @@
-// Bookkeeping of the sub-queries accepted from other daemons.
+// Tracks accepted sub-queries and drops duplicates.
 
 #include "src/routing/sub_query_server.h"
 
@@ -8,7 +8,8 @@
 
 namespace {
 
-// When another owner is likely to have taken over from a stopping daemon.
+// Time after which another owner has probably taken over from a stopping
+// daemon.
 constexpr base::Duration kTakeOver = base::Milliseconds(100);
 constexpr std::size_t kRemembered = 65536;
 
@@ -63,8 +64,9 @@
 void SubQueryServer::Accept(const Key& key, ShardRequest request) {
   const auto dispatcher = dispatchers_->Of(request.collection);
   const blackboard::KeyRange range = request.range;
-  // The lock is held over Submit(), so that the job is on record before its
-  // result, which always comes later on the dispatcher's own sequence.
+  // The lock is held during Submit(), so that the job is recorded before its
+  // result arrives. The result is always delivered later, on the dispatcher's
+  // sequence.
   const std::lock_guard lock(mutex_);
   Accepted& accepted = accepted_[key];
   accepted.dispatcher = dispatcher;
@@ -87,8 +89,8 @@
 void SubQueryServer::DidFinish(const Key& key,
                                const ShardRequest& request,
                                const ShardResult& result) {
-  // A reply that can't be sent leaves the asker with an unknown outcome, which
-  // it finds out through its own timer or the loss of the link.
+  // If the reply can't be sent, the requesting daemon treats the outcome as
+  // unknown once its own timer expires or it notices the loss of the link.
   (void)peers_.send(key.first, ToWire(key.second, request, result));
   const std::lock_guard lock(mutex_);
   const auto row = accepted_.find(key);
--- a/src/routing/sub_query_server.h
+++ b/src/routing/sub_query_server.h
@@ -1,6 +1,6 @@
-// Serves the shards that other daemons ask this one for as the owner of their
-// queues: each range goes to the collection's dispatcher, each result back as a
-// message of its own as soon as it is there.
+// Serves sub-queries from other daemons for the shards whose queues this daemon
+// owns. Each range is submitted to the collection's dispatcher, and each result
+// is sent back in its own message as soon as it is available.
 
 #ifndef MEDLARSPREAD_ROUTING_SUB_QUERY_SERVER_H_
 #define MEDLARSPREAD_ROUTING_SUB_QUERY_SERVER_H_
@@ -32,18 +32,17 @@
                   const peer::wire::SubQuery& message);
   void DidReceive(const peer::Sender& sender,
                   const peer::wire::CancelSubQuery& message);
-  // Nobody waits for the peer's shards any more.
+  // Cancels the peer's shards, since nobody waits for them any more.
   void DidLosePeer(const std::string& peer);
 
-  // From now on new sub-queries are refused as not run; those accepted before
-  // are finished.
+  // From now on new sub-queries are refused as not run; those already accepted
+  // are completed.
   void StopAccepting();
   // Shards accepted and not yet replied to.
   int in_flight() const;
 
  private:
-  // Peer name and sub-query identifier. Invariant: has a row while shards of
-  // it are in flight.
+  // Peer name and sub-query identifier.
   using Key = std::pair<std::string, std::uint64_t>;
   struct Accepted {
     std::shared_ptr<Dispatcher> dispatcher;
@@ -51,7 +50,7 @@
     std::map<blackboard::KeyRange, std::uint64_t> jobs;
   };
 
-  // Whether the message may be served: not a repetition of one seen before.
+  // Whether the message is not a duplicate of one received before.
   bool IsFirst(const Key& key, bool is_at_most_once);
   void Accept(const Key& key, ShardRequest request);
   void Refuse(const Key& key, const ShardRequest& request);
@@ -64,10 +63,12 @@
   const peer::PeerPort peers_;
   const std::shared_ptr<DispatcherSet> dispatchers_;
   mutable std::mutex mutex_;
+  // Invariant: has a row while shards of the sub-query are in flight.
   std::map<Key, Accepted> accepted_;
-  // At-most-once sub-queries seen, oldest first. A repeated message must not
-  // run again even after the first is finished. Bounded by kRemembered: a link
-  // delivers a repetition close to the original or not at all.
+  // At-most-once sub-queries received so far, and their order, oldest first. A
+  // duplicate must not run again even after the original is finished. Bounded
+  // by kRemembered: a link delivers a duplicate close to the original or not at
+  // all.
   std::set<Key> remembered_;
   std::deque<Key> remembered_order_;
   bool is_accepting_ = true;
--- a/src/routing/weighted_turns.h
+++ b/src/routing/weighted_turns.h
@@ -1,10 +1,12 @@
-// Deals the requests of a weighted route out to its collections.
+// Distributes the requests of a weighted route over its collections by smooth
+// weighted round robin.
 //
-// Each collection gains its weight with every request, and the one that is
-// owed most takes it (smooth weighted round robin). After n requests each
-// part has had its share to within one request, where a random choice would
-// be off by some 3 in 100 after 300 requests. A part that is short of room
-// keeps its share: its requests are refused, not moved to another part.
+// Each request adds every collection's weight to its credit and goes to the
+// collection with the highest credit. After any number of requests each
+// collection has had its share to within one request, where a random choice
+// would be off by about 3 in 100 after 300 requests. A collection without
+// capacity keeps its share: its requests are refused, not moved to another
+// collection.
 
 #ifndef MEDLARSPREAD_ROUTING_WEIGHTED_TURNS_H_
 #define MEDLARSPREAD_ROUTING_WEIGHTED_TURNS_H_
@@ -18,8 +20,8 @@
 
 class WeightedTurns {
  public:
-  // The collection that takes the next request of `route`; empty if every
-  // weight is zero.
+  // The collection for the next request of `route`; empty if every weight is
+  // zero.
   std::string Take(const std::string& route,
                    const blackboard::WeightedCollections& collections);
 
--- a/src/routing/wire_conversion.cc
+++ b/src/routing/wire_conversion.cc
@@ -1,4 +1,4 @@
-// Field by field conversion.
+// Conversion field by field.
 
 #include "src/routing/wire_conversion.h"
 
--- a/src/routing/wire_conversion.h
+++ b/src/routing/wire_conversion.h
@@ -1,5 +1,6 @@
-// Between shard requests and results and their messages on the peer links.
-// Points in time become durations left, since clocks of two VMs may differ.
+// Converts shard requests and results to and from messages on the peer links.
+// Points in time are sent as remaining durations, since the clocks of two VMs
+// may differ.
 
 #ifndef MEDLARSPREAD_ROUTING_WIRE_CONVERSION_H_
 #define MEDLARSPREAD_ROUTING_WIRE_CONVERSION_H_
@@ -31,7 +32,7 @@
 peer::wire::ShardReply ToWire(std::uint64_t id,
                               const ShardRequest& request,
                               const ShardResult& result);
-// Nothing if the outcome is not one of ShardOutcome.
+// Nothing if the outcome is not a value of ShardOutcome.
 std::optional<ShardResult> FromWire(const peer::wire::ShardReply& reply);
 
 }  // namespace medlarspread::routing
--- a/tests/routing/aggregator_choice_test.cc
+++ b/tests/routing/aggregator_choice_test.cc
@@ -1,4 +1,4 @@
-// Who fans out for whom.
+// Tests which daemons fan out requests on behalf of others.
 
 #include "src/routing/aggregator_choice.h"
 
@@ -66,7 +66,7 @@
   ASSERT_EQ(choice.parts.size(), 1U);
   EXPECT_EQ(choice.parts[0].shards, shards_);
   EXPECT_TRUE(choice.parts[0].peers.empty());
-  // All are alike.
+  // All daemons are equal.
   EXPECT_TRUE(choice.senders.empty());
 }
 
@@ -106,7 +106,7 @@
   EXPECT_EQ(FirstPeer(choice.parts[0]), "large1");
   EXPECT_EQ(choice.parts[1].shards, (std::vector<std::string>{"b", "d"}));
   EXPECT_EQ(FirstPeer(choice.parts[1]), "large2");
-  // An aggregator keeps its own part and hands the other over.
+  // An aggregator keeps its own part and hands over the other.
   const AggregatorChoice own = ChooseFor("large1");
   EXPECT_TRUE(own.parts[0].peers.empty());
   EXPECT_EQ(FirstPeer(own.parts[1]), "large2");
--- a/tests/routing/dispatcher_test.cc
+++ b/tests/routing/dispatcher_test.cc
@@ -1,5 +1,5 @@
-// Queueing, limits, second sends, retries and truthful outcomes of one
-// collection's shards, driven by hand.
+// Tests queueing, in-flight limits, second sends, retries and outcomes of the
+// shard requests of one collection, with manual time and simulated leaves.
 
 #include "src/routing/dispatcher.h"
 
@@ -19,7 +19,8 @@
 using testing_support::RoutingWorld;
 using upstream::LeafOutcome;
 
-// With the one in the pipe, each leaf takes two requests at once.
+// With one slot and one pipelined request, each leaf takes two requests at
+// once.
 constexpr int kSlots = 1;
 
 class DispatcherTest : public testing::Test {
@@ -44,7 +45,7 @@
     return request;
   }
 
-  // Submits and returns where the result will appear.
+  // Submits a request and returns the place where its result is stored.
   std::shared_ptr<std::optional<ShardResult>> Submit(ShardRequest request) {
     auto slot = std::make_shared<std::optional<ShardResult>>();
     dispatcher_->Submit(std::move(request), [slot](ShardResult result) {
@@ -55,7 +56,7 @@
     return slot;
   }
 
-  // Lets the second-send policy see enough replies of 5 ms to have a delay.
+  // Produces enough replies of 5 ms for the second-send policy to have a delay.
   void TeachServiceTime() {
     for (int i = 0; i < 200; ++i) {
       const auto result = Submit(MakeRequest());
@@ -75,7 +76,7 @@
   for (int i = 0; i < 10; ++i) {
     Submit(MakeRequest());
   }
-  // Two leaves of one slot each, and one request in the pipe to each.
+  // Two leaves with one slot and one pipelined request each.
   EXPECT_EQ(world_.sends.size(), 4U);
   EXPECT_EQ(dispatcher_->queued(), 6);
   world_.Answer(0);
@@ -104,7 +105,7 @@
   EXPECT_EQ((*result)->sends, 2);
   EXPECT_EQ(world_.cancelled_attempts,
             std::vector<std::string>{world_.sends[0].request.attempt_id});
-  // The straggler's answer comes late and changes nothing.
+  // The straggler's late answer has no effect.
   world_.Answer(0);
 }
 
@@ -257,7 +258,7 @@
   const auto result = Submit(MakeRequest());
   world_.Fail(0, LeafOutcome::kLost);
   ASSERT_EQ(world_.sends.size(), 2U);
-  // No time is left to ask again, but the first leaf may have run it.
+  // No time is left for a retry, but the first leaf may have run the request.
   world_.Fail(1, LeafOutcome::kShed, Milliseconds(600));
   ASSERT_TRUE(result->has_value());
   EXPECT_EQ((*result)->outcome, ShardOutcome::kUnknown);
--- a/tests/routing/leaf_pace_test.cc
+++ b/tests/routing/leaf_pace_test.cc
@@ -1,4 +1,4 @@
-// LeafPace: how many requests are kept at a leaf.
+// Tests the limit on requests in flight at a leaf that answers late.
 
 #include "src/routing/leaf_pace.h"
 
@@ -17,7 +17,7 @@
 
 class LeafPaceTest : public testing::Test {
  protected:
-  // So many replies of requests that were alone at the leaf, one every `gap`.
+  // `replies` replies to requests that were alone at the leaf, one every `gap`.
   void End(int replies, bool is_in_time, base::Duration gap) {
     for (int reply = 0; reply < replies; ++reply) {
       now_ = now_ + gap;
@@ -25,7 +25,7 @@
     }
   }
 
-  // How many requests it lets in flight now.
+  // How many requests may be in flight now.
   std::size_t Room() const {
     std::size_t room = 0;
     while (room < kMany && pace_.MaySend(room, now_)) {
@@ -86,9 +86,9 @@
   EXPECT_EQ(Room(), kMany);
 }
 
-// Three daemons share a leaf of three slots that has become ten times as slow:
-// 20 requests/s of 150 ms fit it, and each daemon is asked 30 a second. With
-// the window most of what is sent is in time.
+// Three daemons share a leaf with three slots that has become ten times slower:
+// it can serve 20 requests/s of 150 ms, and each daemon receives 30 requests/s.
+// The window keeps most of the sent requests in time.
 TEST_F(LeafPaceTest, DaemonsThatShareASlowLeafFindTheirParts) {
   constexpr int kDaemons = 3;
   constexpr auto kWork = Milliseconds(150);
--- a/tests/routing/leaf_times_test.cc
+++ b/tests/routing/leaf_times_test.cc
@@ -1,5 +1,5 @@
-// A leaf that has become slow stands out; stragglers and small differences do
-// not, and it stops standing out when it is fast again.
+// Tests that a slow leaf is detected until it has recovered, and that
+// stragglers and small differences are not reported.
 
 #include "src/routing/leaf_times.h"
 
@@ -35,7 +35,7 @@
     times_.DidAnswer("a", Milliseconds(50));
   }
   EXPECT_EQ(times_.ExcessOf("a"), Duration::zero());
-  // Nor does the first answer of a leaf that is new here.
+  // The same holds for the first answer of a new leaf.
   times_.DidAnswer("e", Milliseconds(50));
   EXPECT_EQ(times_.ExcessOf("e"), Duration::zero());
 }
--- a/tests/routing/leaf_tracker_test.cc
+++ b/tests/routing/leaf_tracker_test.cc
@@ -1,4 +1,4 @@
-// LeafTracker: which leaf the next request goes to.
+// Tests the choice of the leaf for the next request.
 
 #include "src/routing/leaf_tracker.h"
 
@@ -45,7 +45,7 @@
         [](const Upstream&) { return upstream::Readiness::kOpen; });
   }
 
-  // One request that the leaf answers after `milliseconds`.
+  // Sends one request that ends with `outcome` after `milliseconds`.
   void Serve(const Upstream& leaf,
              int milliseconds,
              LeafOutcome outcome = LeafOutcome::kAnswered) {
@@ -109,7 +109,7 @@
     Serve(near_, 70);
   }
   EXPECT_EQ(Choose(), &far_);
-  // After some seconds it is tried again.
+  // After a few seconds it is tried again.
   time_->Advance(base::Milliseconds(8'000));
   EXPECT_EQ(Choose(), &near_);
 }
@@ -195,7 +195,7 @@
 }
 
 // The near leaf loses every other answer. A reply from the far one takes 40 ms
-// more and is in time all the same.
+// longer but is still in time.
 TEST_F(LeafTrackerTest, ASoundLeafFartherAwayBeatsOneThatLosesAnswers) {
   for (int request = 0; request < 100; ++request) {
     Serve(near_, 8);
@@ -207,12 +207,12 @@
     time_->Advance(Milliseconds(50));
   }
   EXPECT_EQ(ChooseFor({kClass, Milliseconds(200)}), &far_);
-  // Where a reply from there would be too late, the near one is better.
+  // If a reply from the far leaf would be too late, the near one is better.
   EXPECT_EQ(ChooseFor({kClass, Milliseconds(60)}), &near_);
 }
 
-// One answer was lost a while ago: a request that can be sent again takes the
-// near leaf all the same, one that can't goes round it.
+// One answer was lost a while ago: a repeatable request still goes to the near
+// leaf, but one that must not be repeated avoids it.
 TEST_F(LeafTrackerTest, AFailureThatIsFinalWeighsMore) {
   Learn();
   Serve(near_, 8, LeafOutcome::kLost);
@@ -258,7 +258,7 @@
   EXPECT_TRUE(tracker_.AwaitLateReply(near_, second));
 }
 
-// A daemon that has seen nothing of a leaf goes by what the others saw.
+// A daemon without replies of its own relies on the reports of other daemons.
 class HeardReportsTest : public LeafTrackerTest {
  protected:
   void Hear(const Upstream& leaf, int replies, int failures, int work_ms) {
@@ -294,7 +294,7 @@
   EXPECT_EQ(ChooseForOnce(), &near_);
 }
 
-// Whatever is said of them, one is taken.
+// A leaf is chosen however bad the reports are.
 TEST_F(HeardReportsTest, NoReportLeavesACollectionWithoutALeaf) {
   for (int report = 0; report < 100; ++report) {
     Hear(near_, 20, 20, 0);
@@ -324,7 +324,7 @@
   (void)tracker_.TakeReports();
   Serve(near_, 8);
   EXPECT_TRUE(tracker_.TakeReports().empty());
-  // A while without requests makes it seldom again.
+  // After a while without requests, replies are rare again and are reported.
   time_->Advance(Milliseconds(20'000));
   Serve(near_, 8);
   EXPECT_EQ(tracker_.TakeReports().size(), 1U);
@@ -341,14 +341,15 @@
 TEST_F(LeafTrackerTest, ALeafThatWasReplacedGetsNothingMore) {
   Serve(near_, 1, LeafOutcome::kReplaced);
   EXPECT_EQ(Choose(), &far_);
-  // Not even where there is no other leaf.
+  // This holds even if there is no other leaf.
   EXPECT_EQ(Choose({"far"}), nullptr);
   time_->Advance(Milliseconds(20'000));
   EXPECT_EQ(Choose({"far"}), nullptr);
   EXPECT_TRUE(tracker_.is_replaced(near_));
 }
 
-// The word may have been wrong: one request in half a minute finds out.
+// The leaf may have been marked as replaced by mistake, so one probe is sent
+// every 30 s.
 TEST_F(LeafTrackerTest, ALeafThatWasReplacedIsAskedAgainByOneRequest) {
   Serve(near_, 1, LeafOutcome::kReplaced);
   time_->Advance(Milliseconds(30'000));
--- a/tests/routing/leaf_windows_test.cc
+++ b/tests/routing/leaf_windows_test.cc
@@ -1,4 +1,4 @@
-// What the windows of the leaves learn from replies.
+// Tests how replies change the in-flight limits of leaves.
 
 #include "src/routing/leaf_windows.h"
 
@@ -34,8 +34,8 @@
   blackboard::Upstream leaf_;
 };
 
-// Connections that are refused at once must not pass for fast answers, next to
-// which the usual ones look slow.
+// Connections that are refused immediately must not count as fast answers,
+// since normal answers would look slow in comparison.
 TEST_F(LeafWindowsTest, FailuresAreNotServiceTimes) {
   for (int i = 0; i < 200; ++i) {
     Exchange(LeafOutcome::kUnreachable, 0);
--- a/tests/routing/route_table_test.cc
+++ b/tests/routing/route_table_test.cc
@@ -1,4 +1,4 @@
-// RouteTable: host, longest prefix, and what has no route.
+// Tests route lookup by host and longest prefix, and requests without a route.
 
 #include "src/routing/route_table.h"
 
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -1,4 +1,5 @@
-// Owners and regions are chosen alike by all daemons and away from trouble.
+// Tests the choice of the region and the queue owner, and that slow regions and
+// suspect daemons are avoided.
 
 #include "src/routing/router.h"
 
@@ -43,12 +44,12 @@
   load.expected_wait = Milliseconds(80);
   loads_->DidHear("archive", "counter", 0, "north", load, Milliseconds(1));
   EXPECT_EQ(Choose()->region, "south");
-  // The news was about another class's requests in that queue.
+  // The reported wait applied to another class in that queue.
   EXPECT_EQ(router_.Choose("archive", "audit", shard_, {})->region, "north");
-  // A wait of 80 ms is not over after 20 ms.
+  // A wait of 80 ms has not passed after 20 ms.
   world_.scheduler->Advance(Milliseconds(20));
   EXPECT_EQ(Choose()->region, "south");
-  // The news age, so the own region is tried again.
+  // The reported wait has expired, so the own region is tried again.
   world_.scheduler->Advance(Milliseconds(300));
   EXPECT_EQ(Choose()->region, "north");
 }
--- a/tests/routing/sub_query_client_test.cc
+++ b/tests/routing/sub_query_client_test.cc
@@ -1,4 +1,5 @@
-// Replies are matched by what they say they answer; others are dropped.
+// Tests that replies are matched to their sub-queries and that other replies
+// are dropped.
 
 #include "src/routing/sub_query_client.h"
 
--- a/tests/routing/weighted_turns_test.cc
+++ b/tests/routing/weighted_turns_test.cc
@@ -1,4 +1,5 @@
-// WeightedTurns: shares hold after few requests, and changes start anew.
+// Tests that shares hold after few requests, and that a change of the weights
+// resets the credits.
 
 #include "src/routing/weighted_turns.h"
 
