--- a/src/query/forward_service.cc
+++ b/src/query/forward_service.cc
@@ -159,7 +159,7 @@
           },
           [&](const blackboard::WeightedCollections& weighted) {
             return std::vector<std::string>{
-                turns_.Take(route.targets.name, weighted)};
+                turns_.Next(route.targets.name, weighted)};
           },
           [](const blackboard::AllShards& all) { return all.shards; }},
       route.destination);
--- a/src/query/forward_service.h
+++ b/src/query/forward_service.h
@@ -24,7 +24,7 @@
 #include "src/routing/aggregator_table.h"
 #include "src/routing/peer_health.h"
 #include "src/routing/route_table.h"
-#include "src/routing/weighted_turns.h"
+#include "src/routing/weighted_round_robin.h"
 
 namespace medlarspread::query {
 
@@ -180,7 +180,7 @@
   std::shared_ptr<const blackboard::RoutesView> routes_view_;
   std::unique_ptr<routing::RouteTable> routes_;
   std::shared_ptr<const routing::LeafIndex> index_;
-  routing::WeightedTurns turns_;
+  routing::WeightedRoundRobin turns_;
   routing::AggregatorTable aggregators_;
   // By collection.
   std::map<std::string, Allotment> allotments_;
--- a/src/routing/weighted_turns.cc
+++ b/src/routing/weighted_round_robin.cc
@@ -1,10 +1,10 @@
 // Smooth weighted round robin.
 
-#include "src/routing/weighted_turns.h"
+#include "src/routing/weighted_round_robin.h"
 
 namespace medlarspread::routing {
 
-std::string WeightedTurns::Take(
+std::string WeightedRoundRobin::Next(
     const std::string& route,
     const blackboard::WeightedCollections& collections) {
   Row& row = rows_[route];
@@ -12,23 +12,23 @@
     row = Row{collections, {}};
   }
   double total = 0.0;
-  const std::string* most_owed = nullptr;
+  const std::string* highest = nullptr;
   for (const auto& part : collections.parts) {
     if (part.weight <= 0.0) {
       continue;
     }
     total += part.weight;
-    double& owed = row.owed[part.collection];
-    owed += part.weight;
-    if (most_owed == nullptr || owed > row.owed[*most_owed]) {
-      most_owed = &part.collection;
+    double& credit = row.credit[part.collection];
+    credit += part.weight;
+    if (highest == nullptr || credit > row.credit[*highest]) {
+      highest = &part.collection;
     }
   }
-  if (most_owed == nullptr) {
+  if (highest == nullptr) {
     return "";
   }
-  row.owed[*most_owed] -= total;
-  return *most_owed;
+  row.credit[*highest] -= total;
+  return *highest;
 }
 
 }  // namespace medlarspread::routing
--- a/src/routing/weighted_turns.h
+++ b/src/routing/weighted_round_robin.h
@@ -8,8 +8,8 @@
 // capacity keeps its share: its requests are refused, not moved to another
 // collection.
 
-#ifndef MEDLARSPREAD_ROUTING_WEIGHTED_TURNS_H_
-#define MEDLARSPREAD_ROUTING_WEIGHTED_TURNS_H_
+#ifndef MEDLARSPREAD_ROUTING_WEIGHTED_ROUND_ROBIN_H_
+#define MEDLARSPREAD_ROUTING_WEIGHTED_ROUND_ROBIN_H_
 
 #include <map>
 #include <string>
@@ -18,17 +18,17 @@
 
 namespace medlarspread::routing {
 
-class WeightedTurns {
+class WeightedRoundRobin {
  public:
   // The collection for the next request of `route`; empty if every weight is
   // zero.
-  std::string Take(const std::string& route,
+  std::string Next(const std::string& route,
                    const blackboard::WeightedCollections& collections);
 
  private:
   struct Row {
     blackboard::WeightedCollections collections;
-    std::map<std::string, double> owed;
+    std::map<std::string, double> credit;
   };
 
   std::map<std::string, Row> rows_;
@@ -36,4 +36,4 @@
 
 }  // namespace medlarspread::routing
 
-#endif  // MEDLARSPREAD_ROUTING_WEIGHTED_TURNS_H_
+#endif  // MEDLARSPREAD_ROUTING_WEIGHTED_ROUND_ROBIN_H_
--- a/tests/routing/weighted_turns_test.cc
+++ b/tests/routing/weighted_round_robin_test.cc
@@ -1,7 +1,7 @@
 // Tests that shares hold after few requests, and that a change of the weights
 // resets the credits.
 
-#include "src/routing/weighted_turns.h"
+#include "src/routing/weighted_round_robin.h"
 
 #include <cmath>
 
@@ -13,40 +13,40 @@
 
 using blackboard::WeightedCollections;
 
-TEST(WeightedTurnsTest, SharesHoldToWithinOneRequest) {
+TEST(WeightedRoundRobinTest, SharesHoldToWithinOneRequest) {
   const WeightedCollections collections{{{"a", 0.7}, {"b", 0.25}, {"c", 0.05}}};
-  WeightedTurns turns;
+  WeightedRoundRobin round_robin;
   std::map<std::string, int> taken;
   for (int request = 1; request <= 300; ++request) {
-    ++taken[turns.Take("r", collections)];
+    ++taken[round_robin.Next("r", collections)];
     for (const auto& part : collections.parts) {
       EXPECT_NEAR(taken[part.collection], part.weight * request, 1.0 + 1e-9);
     }
   }
 }
 
-TEST(WeightedTurnsTest, PartsWithoutWeightGetNothing) {
+TEST(WeightedRoundRobinTest, PartsWithoutWeightGetNothing) {
   const WeightedCollections collections{{{"a", 0.0}, {"b", 1.0}}};
-  WeightedTurns turns;
+  WeightedRoundRobin round_robin;
   for (int request = 0; request < 10; ++request) {
-    EXPECT_EQ(turns.Take("r", collections), "b");
+    EXPECT_EQ(round_robin.Next("r", collections), "b");
   }
-  EXPECT_EQ(turns.Take("none", {{{"a", 0.0}}}), "");
+  EXPECT_EQ(round_robin.Next("none", {{{"a", 0.0}}}), "");
 }
 
-TEST(WeightedTurnsTest, NewWeightsForgetWhatWasOwed) {
-  WeightedTurns turns;
+TEST(WeightedRoundRobinTest, NewWeightsResetCredits) {
+  WeightedRoundRobin round_robin;
   for (int request = 0; request < 7; ++request) {
-    turns.Take("r", {{{"a", 9.0}, {"b", 1.0}}});
+    round_robin.Next("r", {{{"a", 9.0}, {"b", 1.0}}});
   }
   int taken = 0;
   for (int request = 0; request < 10; ++request) {
-    taken += turns.Take("r", {{{"a", 1.0}, {"b", 1.0}}}) == "a" ? 1 : 0;
+    taken += round_robin.Next("r", {{{"a", 1.0}, {"b", 1.0}}}) == "a" ? 1 : 0;
   }
   EXPECT_EQ(taken, 5);
 }
 
-RC_GTEST_PROP(WeightedTurnsProperty, EveryShareHolds, ()) {
+RC_GTEST_PROP(WeightedRoundRobinProperty, EveryShareHolds, ()) {
   const auto weights =
       *rc::gen::container<std::vector<int>>(4, rc::gen::inRange(1, 20));
   WeightedCollections collections;
@@ -56,11 +56,11 @@
         {std::to_string(index), static_cast<double>(weights[index])});
     total += weights[index];
   }
-  WeightedTurns turns;
+  WeightedRoundRobin round_robin;
   std::map<std::string, int> taken;
   constexpr int kRequests = 500;
   for (int request = 0; request < kRequests; ++request) {
-    ++taken[turns.Take("r", collections)];
+    ++taken[round_robin.Next("r", collections)];
   }
   for (const auto& part : collections.parts) {
     RC_ASSERT(std::abs(taken[part.collection] -
