--- a/emulator/fleet/virtual_daemon.cc
+++ b/emulator/fleet/virtual_daemon.cc
@@ -52,7 +52,7 @@
     : world_(world),
       self_(std::move(self)),
       tracker_(std::make_shared<routing::LeafTracker>(
-          routing::Place{self_.region, self_.failure_domain},
+          routing::DaemonLocation{self_.region, self_.failure_domain},
           world.clock,
           world.random,
           base::Ablation(world.plan.without))),
--- a/src/routing/leaf_tracker.cc
+++ b/src/routing/leaf_tracker.cc
@@ -84,25 +84,25 @@
 constexpr double kConnectCost = 6'000.0;
 
 // In microseconds.
-double FailureCost(const LeafNeed& need) {
-  return (need.is_repeatable ? kFailureCost : kFinalFailureCost) *
-         static_cast<double>(need.target.count());
+double FailureCost(const LeafRequirements& requirements) {
+  return (requirements.is_repeatable ? kFailureCost : kFinalFailureCost) *
+         static_cast<double>(requirements.target.count());
 }
 
 }  // namespace
 
-LeafTracker::LeafTracker(Place place,
+LeafTracker::LeafTracker(DaemonLocation location,
                          base::Clock clock,
                          std::shared_ptr<base::Random> random,
                          base::Ablation ablation)
-    : place_(std::move(place)),
+    : location_(std::move(location)),
       clock_(std::move(clock)),
       random_(std::move(random)),
       ablation_(ablation) {}
 
 const blackboard::Upstream* LeafTracker::Choose(
     const LeafIndex::Leaves& leaves,
-    const LeafNeed& need,
+    const LeafRequirements& requirements,
     const MayUse& may_use,
     const ReadinessOf& readiness_of) {
   const base::MonotonicTime now = clock_.Now();
@@ -114,7 +114,7 @@
         MustNotSend(*leaf, now)) {
       continue;
     }
-    if (need.is_optional && ablation_.has(Mechanism::kLeafPace) &&
+    if (requirements.is_optional && ablation_.has(Mechanism::kLeafPace) &&
         !IsInTime(*leaf, now)) {
       continue;
     }
@@ -124,7 +124,8 @@
     }
     // Jitter of up to 10% spreads the daemons over leaves with similar
     // estimates.
-    double time = Expect(*leaf, need, now) * (1.0 + 0.1 * random_->Unit());
+    double time =
+        Expect(*leaf, requirements, now) * (1.0 + 0.1 * random_->Unit());
     if (readiness == upstream::Readiness::kMustConnect &&
         ablation_.has(Mechanism::kConnectCost)) {
       time += kConnectCost + Distance(*leaf);
@@ -276,9 +277,9 @@
 }
 
 double LeafTracker::Expect(const blackboard::Upstream& leaf,
-                           const LeafNeed& need,
+                           const LeafRequirements& requirements,
                            base::MonotonicTime now) const {
-  const double typical = TypicalOf(need.class_name);
+  const double typical = TypicalOf(requirements.class_name);
   double time = Distance(leaf);
   const bool is_cold = leaf.state == UpstreamState::kCold &&
                        ablation_.has(Mechanism::kColdStarts);
@@ -289,7 +290,7 @@
   }
   const Row& state = row->second;
   work *= Slowness(state, now);
-  time += FailureShare(state, now) * FailureCost(need);
+  time += FailureShare(state, now) * FailureCost(requirements);
   const double in_flight = ablation_.has(Mechanism::kInFlight)
                                ? static_cast<double>(state.in_flight.size())
                                : 0.0;
@@ -313,16 +314,16 @@
 }
 
 double LeafTracker::Distance(const blackboard::Upstream& leaf) const {
-  if (leaf.failure_domain == place_.failure_domain) {
+  if (leaf.failure_domain == location_.failure_domain) {
     return 0.0;
   }
-  const auto here = fastest_.find(place_.failure_domain);
+  const auto here = fastest_.find(location_.failure_domain);
   const auto there = fastest_.find(leaf.failure_domain);
   if (here != fastest_.end() && there != fastest_.end()) {
     return std::max(0.0, there->second - here->second);
   }
-  return leaf.region == place_.region ? kFirstDistanceInRegion
-                                      : kFirstDistanceToRegion;
+  return leaf.region == location_.region ? kFirstDistanceInRegion
+                                         : kFirstDistanceToRegion;
 }
 
 double LeafTracker::FailureShare(const Row& row,
--- a/src/routing/leaf_tracker.h
+++ b/src/routing/leaf_tracker.h
@@ -46,13 +46,13 @@
 namespace medlarspread::routing {
 
 // The region and failure domain that this daemon runs in.
-struct Place {
+struct DaemonLocation {
   std::string region;
   std::string failure_domain;
 };
 
 // Properties of a request that affect the choice of its leaf.
-struct LeafNeed {
+struct LeafRequirements {
   // Class of the request.
   std::string class_name;
   // Latency target.
@@ -67,7 +67,7 @@
 
 class LeafTracker {
  public:
-  LeafTracker(Place place,
+  LeafTracker(DaemonLocation location,
               base::Clock clock,
               std::shared_ptr<base::Random> random,
               base::Ablation ablation = {});
@@ -80,7 +80,7 @@
   // The leaf with the earliest expected reply, including the expected cost of a
   // failure, or null if no request may be sent to any of `leaves` now.
   const blackboard::Upstream* Choose(const LeafIndex::Leaves& leaves,
-                                     const LeafNeed& need,
+                                     const LeafRequirements& requirements,
                                      const MayUse& may_use,
                                      const ReadinessOf& readiness_of);
   // Service time of a request of the class at a leaf that serves no other
@@ -163,7 +163,7 @@
   bool IsInTime(const blackboard::Upstream& leaf,
                 base::MonotonicTime now) const;
   double Expect(const blackboard::Upstream& leaf,
-                const LeafNeed& need,
+                const LeafRequirements& requirements,
                 base::MonotonicTime now) const;
   // Extra time in microseconds of a reply from the leaf's failure domain over
   // one from the own domain.
@@ -198,7 +198,7 @@
   bool MustNotSend(const blackboard::Upstream& leaf,
                    base::MonotonicTime now) const;
 
-  const Place place_;
+  const DaemonLocation location_;
   const base::Clock clock_;
   const std::shared_ptr<base::Random> random_;
   const base::Ablation ablation_;
--- a/tests/query/forward_service_test.cc
+++ b/tests/query/forward_service_test.cc
@@ -143,9 +143,10 @@
       clock_,
       base::TaskRunner(scheduler_),
       blackboard_,
-      std::make_shared<routing::LeafTracker>(routing::Place{"n1", "n1"},
-                                             clock_,
-                                             std::make_shared<base::Random>(1)),
+      std::make_shared<routing::LeafTracker>(
+          routing::DaemonLocation{"n1", "n1"},
+          clock_,
+          std::make_shared<base::Random>(1)),
       quarantine_,
       {leaves_.port(), peers_.port(),
        [this](const burn::RequestRecord& record) {
--- a/tests/routing/leaf_tracker_test.cc
+++ b/tests/routing/leaf_tracker_test.cc
@@ -35,7 +35,7 @@
     return ChooseFor({kClass, Milliseconds(100)}, excluded);
   }
 
-  const Upstream* ChooseFor(const LeafNeed& need,
+  const Upstream* ChooseFor(const LeafRequirements& need,
                             const std::set<std::string>& excluded = {}) {
     return tracker_.Choose(
         leaves_, need,
@@ -217,16 +217,16 @@
   Learn();
   Serve(near_, 8, LeafOutcome::kLost);
   time_->Advance(Milliseconds(3'000));
-  const LeafNeed repeatable{kClass, Milliseconds(100), true};
-  const LeafNeed final{kClass, Milliseconds(100), false};
+  const LeafRequirements repeatable{kClass, Milliseconds(100), true};
+  const LeafRequirements final{kClass, Milliseconds(100), false};
   EXPECT_EQ(ChooseFor(repeatable), &near_);
   EXPECT_EQ(ChooseFor(final), &far_);
 }
 
 TEST_F(LeafTrackerTest, WhatTheCallerCanDoWithoutIsNotSentToALateLeaf) {
   Learn();
-  const LeafNeed needed{kClass, Milliseconds(100)};
-  LeafNeed optional = needed;
+  const LeafRequirements needed{kClass, Milliseconds(100)};
+  LeafRequirements optional = needed;
   optional.is_optional = true;
   EXPECT_EQ(ChooseFor(optional, {"far"}), &near_);
   for (int request = 0; request < 30; ++request) {
