--- a/src/query/fan_out_sends.cc
+++ b/src/query/fan_out_sends.cc
@@ -271,7 +271,7 @@
 base::Duration FanOutSession::RefusalPause() const {
   const base::Duration most = route_.targets.latency / kRefusalPauseShare;
   const base::Duration work =
-      dependencies_->tracker->WorkAlone(route_.targets.name);
+      dependencies_->tracker->UnloadedServiceTime(route_.targets.name);
   return work == base::Duration{} ? most : std::min(work, most);
 }
 
--- a/src/query/forward_admission.cc
+++ b/src/query/forward_admission.cc
@@ -108,8 +108,8 @@
 admission::ExpectedWork ForwardService::ExpectWork(
     const blackboard::WorkRoute& route,
     base::Duration waited) const {
-  return {tracker_->WorkAlone(route.targets.name), TimeToTarget(route, waited),
-          route.priority};
+  return {tracker_->UnloadedServiceTime(route.targets.name),
+          TimeToTarget(route, waited), route.priority};
 }
 
 std::optional<Refused> ForwardService::CheckBacklog(
--- a/src/routing/leaf_tracker.cc
+++ b/src/routing/leaf_tracker.cc
@@ -111,11 +111,11 @@
   for (const blackboard::Upstream* leaf : leaves) {
     if (leaf->state == UpstreamState::kDraining ||
         leaf->state == UpstreamState::kUnreachable || !may_use(*leaf) ||
-        MustNotSend(*leaf, now)) {
+        IsBlockedAsReplaced(*leaf, now)) {
       continue;
     }
     if (requirements.is_optional && ablation_.has(Mechanism::kLeafPace) &&
-        !IsInTime(*leaf, now)) {
+        !WouldAnswerInTime(*leaf, now)) {
       continue;
     }
     const upstream::Readiness readiness = readiness_of(*leaf);
@@ -124,8 +124,8 @@
     }
     // Jitter of up to 10% spreads the daemons over leaves with similar
     // estimates.
-    double time =
-        Expect(*leaf, requirements, now) * (1.0 + 0.1 * random_->Unit());
+    double time = ExpectedReplyTime(*leaf, requirements, now) *
+                  (1.0 + 0.1 * random_->Unit());
     if (readiness == upstream::Readiness::kMustConnect &&
         ablation_.has(Mechanism::kConnectCost)) {
       time += kConnectCost + Distance(*leaf);
@@ -148,11 +148,12 @@
   return delay + base::Duration(static_cast<std::int64_t>(Distance(leaf)));
 }
 
-base::Duration LeafTracker::WorkAlone(const std::string& class_name) const {
+base::Duration LeafTracker::UnloadedServiceTime(
+    const std::string& class_name) const {
   const auto row = work_.find(class_name);
   return row == work_.end()
              ? base::Duration{}
-             : base::Duration(static_cast<std::int64_t>(row->second.alone));
+             : base::Duration(static_cast<std::int64_t>(row->second.unloaded));
 }
 
 void LeafTracker::DidSend(const blackboard::Upstream& leaf,
@@ -160,8 +161,8 @@
   Row& row = rows_[leaf.name];
   row.in_flight.insert(now);
   row.pace.DidSend(now);
-  if (row.ask_again_at) {
-    row.ask_again_at = now + kReplacedInterval;
+  if (row.probe_at) {
+    row.probe_at = now + kReplacedInterval;
   }
 }
 
@@ -179,15 +180,15 @@
   }
   const bool is_failure = reply.outcome != LeafOutcome::kAnswered;
   LearnFailures(row, is_failure ? 1.0 : 0.0, kFailureWeight, 1, clock_.Now());
-  Note(leaf, class_name, is_failure, reply.service_time);
+  RecordForReport(leaf, class_name, is_failure, reply.service_time);
   switch (reply.outcome) {
     case LeafOutcome::kAnswered:
       row.failures_in_a_row = 0;
       row.stalls_in_a_row = 0;
       row.avoid_until = {};
       row.stalled_until = {};
-      row.ask_again_at.reset();
-      Learn(leaf, class_name, reply.service_time);
+      row.probe_at.reset();
+      LearnFromAnswer(leaf, class_name, reply.service_time);
       return;
     case LeafOutcome::kShed:
     case LeafOutcome::kCold:
@@ -200,7 +201,7 @@
       DidFail(row, reply.retry_after);
       return;
     case LeafOutcome::kReplaced:
-      row.ask_again_at = clock_.Now() + kReplacedInterval;
+      row.probe_at = clock_.Now() + kReplacedInterval;
       return;
     case LeafOutcome::kTimeout:
       DidStall(leaf, class_name, reply.service_time);
@@ -244,7 +245,7 @@
 void LeafTracker::DidStall(const blackboard::Upstream& leaf,
                            const std::string& class_name,
                            base::Duration age) {
-  Note(leaf, class_name, false, age);
+  RecordForReport(leaf, class_name, false, age);
   Row& row = rows_[leaf.name];
   const int doublings = std::min(row.stalls_in_a_row, kMostStallDoublings);
   ++row.stalls_in_a_row;
@@ -259,26 +260,26 @@
 
 bool LeafTracker::is_replaced(const blackboard::Upstream& leaf) const {
   const auto row = rows_.find(leaf.name);
-  return row != rows_.end() && row->second.ask_again_at.has_value();
+  return row != rows_.end() && row->second.probe_at.has_value();
 }
 
-bool LeafTracker::MustNotSend(const blackboard::Upstream& leaf,
-                              base::MonotonicTime now) const {
+bool LeafTracker::IsBlockedAsReplaced(const blackboard::Upstream& leaf,
+                                      base::MonotonicTime now) const {
   const auto row = rows_.find(leaf.name);
-  return row != rows_.end() && row->second.ask_again_at &&
-         now < *row->second.ask_again_at;
+  return row != rows_.end() && row->second.probe_at &&
+         now < *row->second.probe_at;
 }
 
-bool LeafTracker::IsInTime(const blackboard::Upstream& leaf,
-                           base::MonotonicTime now) const {
+bool LeafTracker::WouldAnswerInTime(const blackboard::Upstream& leaf,
+                                    base::MonotonicTime now) const {
   const auto row = rows_.find(leaf.name);
   return row == rows_.end() ||
          row->second.pace.MaySend(row->second.in_flight.size(), now);
 }
 
-double LeafTracker::Expect(const blackboard::Upstream& leaf,
-                           const LeafRequirements& requirements,
-                           base::MonotonicTime now) const {
+double LeafTracker::ExpectedReplyTime(const blackboard::Upstream& leaf,
+                                      const LeafRequirements& requirements,
+                                      base::MonotonicTime now) const {
   const double typical = TypicalOf(requirements.class_name);
   double time = Distance(leaf);
   const bool is_cold = leaf.state == UpstreamState::kCold &&
@@ -298,9 +299,9 @@
   const bool counts_stalls = ablation_.has(Mechanism::kStalls);
   if (counts_stalls && !state.in_flight.empty()) {
     const base::Duration age = now - *state.in_flight.begin();
-    const auto patience = base::Duration(
+    const auto overdue_after = base::Duration(
         static_cast<std::int64_t>(kPatience * typical + Distance(leaf)));
-    if (age > patience) {
+    if (age > overdue_after) {
       time += std::max(kStalledPenalty, static_cast<double>(age.count()));
     }
   }
@@ -365,10 +366,10 @@
   work.typical += kTypicalWeight * (bounded - work.typical);
 }
 
-void LeafTracker::Note(const blackboard::Upstream& leaf,
-                       const std::string& class_name,
-                       bool is_failure,
-                       base::Duration time) {
+void LeafTracker::RecordForReport(const blackboard::Upstream& leaf,
+                                  const std::string& class_name,
+                                  bool is_failure,
+                                  base::Duration time) {
   Row& row = rows_[leaf.name];
   const base::MonotonicTime now = clock_.Now();
   const auto age = static_cast<double>((now - row.recent_replies_at).count());
@@ -376,9 +377,9 @@
       1.0 + row.recent_replies * std::exp(-age / kRepliesForgotten);
   row.recent_replies_at = now;
   const auto key = std::pair(leaf.name, class_name);
-  const bool has_place =
+  const bool has_capacity =
       reports_.size() < kMostReports || reports_.contains(key);
-  if (row.recent_replies > kSeldomReplies || !has_place ||
+  if (row.recent_replies > kSeldomReplies || !has_capacity ||
       !ablation_.has(Mechanism::kSharedReports)) {
     return;
   }
@@ -440,9 +441,9 @@
                                                           : row->second.typical;
 }
 
-void LeafTracker::Learn(const blackboard::Upstream& leaf,
-                        const std::string& class_name,
-                        base::Duration time) {
+void LeafTracker::LearnFromAnswer(const blackboard::Upstream& leaf,
+                                  const std::string& class_name,
+                                  base::Duration time) {
   const auto total = static_cast<double>(time.count());
   const auto [fastest, is_new] =
       fastest_.try_emplace(leaf.failure_domain, total);
@@ -455,8 +456,9 @@
   LearnTypical(work, own);
   Row& row = rows_[leaf.name];
   if (row.in_flight.empty()) {
-    const double alone = work.alone == 0.0 ? own : work.alone;
-    work.alone = alone + kAloneWeight * (std::min(own, 3.0 * alone) - alone);
+    const double unloaded = work.unloaded == 0.0 ? own : work.unloaded;
+    work.unloaded =
+        unloaded + kAloneWeight * (std::min(own, 3.0 * unloaded) - unloaded);
   }
   LearnSlowness(row, own / work.typical, kSlownessWeight, clock_.Now());
 }
--- a/src/routing/leaf_tracker.h
+++ b/src/routing/leaf_tracker.h
@@ -85,7 +85,7 @@
                                      const ReadinessOf& readiness_of);
   // Service time of a request of the class at a leaf that serves no other
   // request of this daemon; zero until measured.
-  base::Duration WorkAlone(const std::string& class_name) const;
+  base::Duration UnloadedServiceTime(const std::string& class_name) const;
   // How long after a send to the leaf a second send to another leaf is
   // worthwhile. `first_delay` is used until enough replies of the class have
   // been measured.
@@ -142,7 +142,7 @@
     base::MonotonicTime avoid_until;
     base::MonotonicTime stalled_until;
     // Set while the leaf counts as replaced: when the next probe may be sent.
-    std::optional<base::MonotonicTime> ask_again_at;
+    std::optional<base::MonotonicTime> probe_at;
     LeafPace pace;
     // Send time of the request whose reply is awaited only as a sign of
     // recovery.
@@ -157,14 +157,14 @@
     double typical = 0.0;
     // The same for requests that were the only ones at their leaf, so that
     // queueing at the leaf doesn't affect it.
-    double alone = 0.0;
+    double unloaded = 0.0;
   };
 
-  bool IsInTime(const blackboard::Upstream& leaf,
-                base::MonotonicTime now) const;
-  double Expect(const blackboard::Upstream& leaf,
-                const LeafRequirements& requirements,
-                base::MonotonicTime now) const;
+  bool WouldAnswerInTime(const blackboard::Upstream& leaf,
+                         base::MonotonicTime now) const;
+  double ExpectedReplyTime(const blackboard::Upstream& leaf,
+                           const LeafRequirements& requirements,
+                           base::MonotonicTime now) const;
   // Extra time in microseconds of a reply from the leaf's failure domain over
   // one from the own domain.
   double Distance(const blackboard::Upstream& leaf) const;
@@ -186,17 +186,17 @@
   double TypicalOf(const std::string& class_name) const;
   // Records a reply for the reports to other daemons, if this daemon rarely
   // sends to the leaf.
-  void Note(const blackboard::Upstream& leaf,
-            const std::string& class_name,
-            bool is_failure,
-            base::Duration time);
-  void Learn(const blackboard::Upstream& leaf,
-             const std::string& class_name,
-             base::Duration time);
+  void RecordForReport(const blackboard::Upstream& leaf,
+                       const std::string& class_name,
+                       bool is_failure,
+                       base::Duration time);
+  void LearnFromAnswer(const blackboard::Upstream& leaf,
+                       const std::string& class_name,
+                       base::Duration time);
   void DidFail(Row& row, base::Duration retry_after);
   // Whether the leaf counts as replaced and its next probe is not due yet.
-  bool MustNotSend(const blackboard::Upstream& leaf,
-                   base::MonotonicTime now) const;
+  bool IsBlockedAsReplaced(const blackboard::Upstream& leaf,
+                           base::MonotonicTime now) const;
 
   const DaemonLocation location_;
   const base::Clock clock_;
