--- a/src/routing/leaf_tracker.cc
+++ b/src/routing/leaf_tracker.cc
@@ -16,56 +16,56 @@
 
 // In microseconds, used until measured: the extra time of a reply from another
 // failure domain of the region and from another region.
-constexpr double kFirstDistanceInRegion = 1'000.0;
-constexpr double kFirstDistanceToRegion = 20'000.0;
-constexpr double kFirstTypical = 10'000.0;
+constexpr double kInitialDistanceInRegion = 1'000.0;
+constexpr double kInitialDistanceToRegion = 20'000.0;
+constexpr double kInitialTypical = 10'000.0;
 // The fastest reply of a domain is raised by this factor per reply, so that a
 // link that has become slower is noticed after a few hundred replies.
 constexpr double kFastestDrift = 1.002;
 constexpr double kTypicalWeight = 0.05;
-constexpr double kAloneWeight = 0.02;
+constexpr double kUnloadedWeight = 0.02;
 constexpr double kSlownessWeight = 0.5;
 // Bounds the effect of a single reply: a leaf that paused once is back to its
 // usual speed, and only several slow replies in a row should divert requests to
 // another region.
-constexpr double kHighestSlowness = 4.0;
+constexpr double kMaxSlowness = 4.0;
 // Time constant in microseconds of the decay of a leaf's slowness, after which
 // the leaf is tried again.
-constexpr double kSlownessForgotten = 4'000'000.0;
+constexpr double kSlownessDecayTime = 4'000'000.0;
 // Requests take about 1.6 times as long in the first seconds after a leaf's
 // start.
 constexpr double kColdFactor = 1.6;
 // A request is overdue after this many times its typical time.
-constexpr double kPatience = 3.0;
+constexpr double kOverdueFactor = 3.0;
 // In microseconds; large enough that a penalized leaf is chosen only if no
 // other leaf is available.
 constexpr double kStalledPenalty = 60'000.0;
 constexpr double kFailingPenalty = 10'000'000.0;
-constexpr base::Duration kFirstStall = base::Milliseconds(60);
-constexpr int kMostStallDoublings = 3;
-constexpr base::Duration kFirstAvoidance = base::Milliseconds(150);
-constexpr int kMostAvoidanceDoublings = 4;
+constexpr base::Duration kInitialStallTime = base::Milliseconds(60);
+constexpr int kMaxStallDoublings = 3;
+constexpr base::Duration kInitialAvoidanceTime = base::Milliseconds(150);
+constexpr int kMaxAvoidanceDoublings = 4;
 // Interval of the probe requests to a leaf whose address another leaf has taken
 // over. The leaf's entry disappears when its lease ends, so the probes only
 // serve leaves that were marked as replaced by mistake.
-constexpr base::Duration kReplacedInterval = base::Milliseconds(30'000);
+constexpr base::Duration kReplacedProbeInterval = base::Milliseconds(30'000);
 // Weight of one reply in a leaf's failure share, and the time constant in
 // microseconds of its decay: about a third of the share is left after that.
 constexpr double kFailureWeight = 0.3;
-constexpr double kFailureForgotten = 3'000'000.0;
+constexpr double kFailureDecayTime = 3'000'000.0;
 // Cost of a failed send as a multiple of the latency target. A retry takes time
 // and, if many sends fail, exceeds the budget of extra sends, so that the shard
 // is missing from the answer. A healthy leaf farther away is therefore
 // preferred as long as its reply is in time. The cost is higher for requests
 // that must not be repeated, because their failure is final.
 constexpr double kFailureCost = 1.0;
-constexpr double kFinalFailureCost = 3.0;
+constexpr double kUnrepeatableFailureCost = 3.0;
 // Replies from a leaf are reported to other daemons only while at most this
 // many came within about the second constant (in microseconds). With more
 // replies a daemon can judge the leaf by itself, and so can other daemons that
 // are as busy.
-constexpr double kSeldomReplies = 3.0;
-constexpr double kRepliesForgotten = 3'000'000.0;
+constexpr double kMaxRepliesToReport = 3.0;
+constexpr double kRepliesDecayTime = 3'000'000.0;
 // Weight of a reply reported by another daemon relative to an own one. A
 // reported reply may be some tenths of a second old and depends on that
 // daemon's estimates. One reported failure still outweighs the distance to
@@ -73,19 +73,20 @@
 // sending one request every eight seconds to a single collection): with half of
 // the leaves eight times slower, 93 instead of 617 of 1,618 requests were late;
 // with most leaves losing one answer in twelve, 57 instead of 110 failed.
-constexpr double kHeardPart = 0.5;
+constexpr double kReportedReplyWeight = 0.5;
 // Replies in one report beyond this number are ignored.
-constexpr int kMostHeard = 20;
+constexpr int kMaxRepliesPerReport = 20;
 // Memory bounds; no regular daemon has more classes or sends more reports.
-constexpr std::size_t kMostClasses = 10'000;
-constexpr std::size_t kMostReports = 64;
+constexpr std::size_t kMaxClasses = 10'000;
+constexpr std::size_t kMaxReports = 64;
 // Time in microseconds that a leaf takes to accept a connection, without the
 // network round trip.
 constexpr double kConnectCost = 6'000.0;
 
 // In microseconds.
 double FailureCost(const LeafRequirements& requirements) {
-  return (requirements.is_repeatable ? kFailureCost : kFinalFailureCost) *
+  return (requirements.is_repeatable ? kFailureCost
+                                     : kUnrepeatableFailureCost) *
          static_cast<double>(requirements.target.count());
 }
 
@@ -162,7 +163,7 @@
   row.in_flight.insert(now);
   row.pace.DidSend(now);
   if (row.probe_at) {
-    row.probe_at = now + kReplacedInterval;
+    row.probe_at = now + kReplacedProbeInterval;
   }
 }
 
@@ -201,7 +202,7 @@
       DidFail(row, reply.retry_after);
       return;
     case LeafOutcome::kReplaced:
-      row.probe_at = clock_.Now() + kReplacedInterval;
+      row.probe_at = clock_.Now() + kReplacedProbeInterval;
       return;
     case LeafOutcome::kTimeout:
       DidStall(leaf, class_name, reply.service_time);
@@ -247,9 +248,9 @@
                            base::Duration age) {
   RecordForReport(leaf, class_name, false, age);
   Row& row = rows_[leaf.name];
-  const int doublings = std::min(row.stalls_in_a_row, kMostStallDoublings);
+  const int doublings = std::min(row.stalls_in_a_row, kMaxStallDoublings);
   ++row.stalls_in_a_row;
-  row.stalled_until = clock_.Now() + kFirstStall * (1 << doublings);
+  row.stalled_until = clock_.Now() + kInitialStallTime * (1 << doublings);
 }
 
 void LeafTracker::Prune(const blackboard::UpstreamsView& view) {
@@ -300,7 +301,7 @@
   if (counts_stalls && !state.in_flight.empty()) {
     const base::Duration age = now - *state.in_flight.begin();
     const auto overdue_after = base::Duration(
-        static_cast<std::int64_t>(kPatience * typical + Distance(leaf)));
+        static_cast<std::int64_t>(kOverdueFactor * typical + Distance(leaf)));
     if (age > overdue_after) {
       time += std::max(kStalledPenalty, static_cast<double>(age.count()));
     }
@@ -323,8 +324,8 @@
   if (here != fastest_.end() && there != fastest_.end()) {
     return std::max(0.0, there->second - here->second);
   }
-  return leaf.region == location_.region ? kFirstDistanceInRegion
-                                         : kFirstDistanceToRegion;
+  return leaf.region == location_.region ? kInitialDistanceInRegion
+                                         : kInitialDistanceToRegion;
 }
 
 double LeafTracker::FailureShare(const Row& row,
@@ -333,7 +334,7 @@
     return 0.0;
   }
   const auto age = static_cast<double>((now - row.failure_share_at).count());
-  return row.failure_share * std::exp(-age / kFailureForgotten);
+  return row.failure_share * std::exp(-age / kFailureDecayTime);
 }
 
 void LeafTracker::LearnFailures(Row& row,
@@ -352,7 +353,7 @@
                                 double weight,
                                 base::MonotonicTime now) const {
   const double known = Slowness(row, now);
-  const double bounded = std::min(kHighestSlowness, ratio);
+  const double bounded = std::min(kMaxSlowness, ratio);
   row.slowness = std::max(1.0, known + weight * (bounded - known));
   row.slowness_at = now;
 }
@@ -374,12 +375,12 @@
   const base::MonotonicTime now = clock_.Now();
   const auto age = static_cast<double>((now - row.recent_replies_at).count());
   row.recent_replies =
-      1.0 + row.recent_replies * std::exp(-age / kRepliesForgotten);
+      1.0 + row.recent_replies * std::exp(-age / kRepliesDecayTime);
   row.recent_replies_at = now;
   const auto key = std::pair(leaf.name, class_name);
   const bool has_capacity =
-      reports_.size() < kMostReports || reports_.contains(key);
-  if (row.recent_replies > kSeldomReplies || !has_capacity ||
+      reports_.size() < kMaxReports || reports_.contains(key);
+  if (row.recent_replies > kMaxRepliesToReport || !has_capacity ||
       !ablation_.has(Mechanism::kSharedReports)) {
     return;
   }
@@ -409,14 +410,14 @@
 void LeafTracker::DidHear(const LeafReport& report) {
   const bool is_known = work_.contains(report.class_name);
   if (!ablation_.has(Mechanism::kSharedReports) ||
-      (!is_known && work_.size() >= kMostClasses)) {
+      (!is_known && work_.size() >= kMaxClasses)) {
     return;
   }
   const base::MonotonicTime now = clock_.Now();
   Row& row = rows_[report.leaf];
   LearnFailures(row, static_cast<double>(report.failures) / report.replies,
-                kHeardPart * kFailureWeight,
-                std::min(kMostHeard, report.replies), now);
+                kReportedReplyWeight * kFailureWeight,
+                std::min(kMaxRepliesPerReport, report.replies), now);
   if (report.replies == report.failures) {
     return;
   }
@@ -424,7 +425,8 @@
   const auto time = static_cast<double>(report.work.count());
   work.second_sends.DidReply(report.work);
   LearnTypical(work, time);
-  LearnSlowness(row, time / work.typical, kHeardPart * kSlownessWeight, now);
+  LearnSlowness(row, time / work.typical,
+                kReportedReplyWeight * kSlownessWeight, now);
 }
 
 double LeafTracker::Slowness(const Row& row, base::MonotonicTime now) const {
@@ -432,12 +434,12 @@
     return 1.0;
   }
   const auto age = static_cast<double>((now - row.slowness_at).count());
-  return 1.0 + (row.slowness - 1.0) * std::exp(-age / kSlownessForgotten);
+  return 1.0 + (row.slowness - 1.0) * std::exp(-age / kSlownessDecayTime);
 }
 
 double LeafTracker::TypicalOf(const std::string& class_name) const {
   const auto row = work_.find(class_name);
-  return row == work_.end() || row->second.typical == 0.0 ? kFirstTypical
+  return row == work_.end() || row->second.typical == 0.0 ? kInitialTypical
                                                           : row->second.typical;
 }
 
@@ -458,17 +460,16 @@
   if (row.in_flight.empty()) {
     const double unloaded = work.unloaded == 0.0 ? own : work.unloaded;
     work.unloaded =
-        unloaded + kAloneWeight * (std::min(own, 3.0 * unloaded) - unloaded);
+        unloaded + kUnloadedWeight * (std::min(own, 3.0 * unloaded) - unloaded);
   }
   LearnSlowness(row, own / work.typical, kSlownessWeight, clock_.Now());
 }
 
 void LeafTracker::DidFail(Row& row, base::Duration retry_after) {
-  const int doublings =
-      std::min(row.failures_in_a_row, kMostAvoidanceDoublings);
+  const int doublings = std::min(row.failures_in_a_row, kMaxAvoidanceDoublings);
   ++row.failures_in_a_row;
   const base::Duration pause =
-      std::max(retry_after, kFirstAvoidance * (1 << doublings));
+      std::max(retry_after, kInitialAvoidanceTime * (1 << doublings));
   const auto jitter = static_cast<std::int64_t>(
       random_->Unit() * 0.5 * static_cast<double>(pause.count()));
   row.avoid_until = clock_.Now() + pause + base::Duration(jitter);
