--- a/src/routing/leaf_pace.h
+++ b/src/routing/leaf_pace.h
@@ -32,7 +32,7 @@
  public:
   // Whether one more request is expected to be answered in time.
   bool MaySend(std::size_t in_flight, base::MonotonicTime now) const;
-  void DidSend(base::MonotonicTime now) { sent_ = now; }
+  void DidSend(base::MonotonicTime now) { last_send_ = now; }
   // A request ended `time` after it was sent, within its latency target or not.
   // `in_flight` other requests remain at the leaf.
   void DidEnd(bool is_in_time,
@@ -45,11 +45,11 @@
 
   // In requests; absent while there is no limit.
   std::optional<double> window_;
-  base::MonotonicTime sent_;
+  base::MonotonicTime last_send_;
   // When a late reply last reduced the window.
-  base::MonotonicTime shrunk_;
+  base::MonotonicTime last_decrease_;
   // Duration of the last request.
-  base::Duration last_time_{};
+  base::Duration last_duration_{};
 };
 
 }  // namespace medlarspread::routing
