--- a/src/routing/aggregator_choice.cc
+++ b/src/routing/aggregator_choice.cc
@@ -18,11 +18,11 @@
 
 // A failure domain has aggregators only if it holds leaves of at least this
 // share of the shards: handing over fewer costs more than it saves.
-constexpr double kLeastPart = 0.2;
+constexpr double kMinShardsShare = 0.2;
 // A daemon is an aggregator if it has at least this fraction of the largest
 // processor share in its failure domain, so that the work is spread over as
 // many capable daemons as possible.
-constexpr double kStrongPart = 0.5;
+constexpr double kMinRelativeProcessorShare = 0.5;
 
 // The failure domains that hold a leaf of each shard.
 using DomainsOfShards = std::map<std::string, std::set<std::string>>;
@@ -44,7 +44,8 @@
   return found;
 }
 
-std::set<std::string> DomainsWithEnough(const DomainsOfShards& domains_of) {
+std::set<std::string> DomainsWithEnoughShards(
+    const DomainsOfShards& domains_of) {
   std::map<std::string, std::size_t> shards_in;
   for (const auto& [shard, domains] : domains_of) {
     for (const std::string& domain : domains) {
@@ -54,7 +55,7 @@
   std::set<std::string> enough;
   for (const auto& [domain, count] : shards_in) {
     if (static_cast<double>(count) >=
-        kLeastPart * static_cast<double>(domains_of.size())) {
+        kMinShardsShare * static_cast<double>(domains_of.size())) {
       enough.insert(domain);
     }
   }
@@ -78,7 +79,7 @@
   for (const auto& [name, member] : membership.members) {
     if (can_aggregate(member) &&
         member.processor_share >=
-            kStrongPart * strongest[member.failure_domain]) {
+            kMinRelativeProcessorShare * strongest[member.failure_domain]) {
       found[member.failure_domain].push_back(name);
     }
   }
@@ -92,10 +93,10 @@
 // The failure domain in `self`'s region whose aggregators take the shard;
 // `self`'s own domain is preferred if it has a leaf of the shard. Empty if no
 // domain in the region has one.
-std::string DomainFor(const std::set<std::string>& domains,
-                      const Aggregators& aggregators,
-                      const MembershipView& membership,
-                      const Member& self) {
+std::string DomainForShard(const std::set<std::string>& domains,
+                           const Aggregators& aggregators,
+                           const MembershipView& membership,
+                           const Member& self) {
   std::string chosen;
   for (const std::string& domain : domains) {
     const auto row = aggregators.find(domain);
@@ -116,22 +117,22 @@
     const MembershipView& membership,
     const Member& self) {
   std::map<std::string, std::vector<std::string>> groups;
-  std::vector<std::string> homeless;
+  std::vector<std::string> unassigned;
   for (const std::string& shard : shards) {
     const std::string domain =
-        DomainFor(domains_of.at(shard), aggregators, membership, self);
-    (domain.empty() ? homeless : groups[domain]).push_back(shard);
+        DomainForShard(domains_of.at(shard), aggregators, membership, self);
+    (domain.empty() ? unassigned : groups[domain]).push_back(shard);
   }
   if (groups.empty()) {
-    groups[self.failure_domain] = std::move(homeless);
+    groups[self.failure_domain] = std::move(unassigned);
     return groups;
   }
   const auto largest = std::max_element(
       groups.begin(), groups.end(), [](const auto& left, const auto& right) {
         return left.second.size() < right.second.size();
       });
-  largest->second.insert(largest->second.end(), homeless.begin(),
-                         homeless.end());
+  largest->second.insert(largest->second.end(), unassigned.begin(),
+                         unassigned.end());
   return groups;
 }
 
@@ -145,7 +146,7 @@
   }
   for (const std::string& name :
        base::RankByRendezvous(membership.self, row->second)) {
-    if (peers.size() < kMostAggregatorsUsed) {
+    if (peers.size() < kMaxAggregatorsUsed) {
       peers.push_back(membership.members.at(name));
     }
   }
@@ -153,8 +154,8 @@
 }
 
 // Whether any daemon is not an aggregator and thus hands its requests over.
-bool HasEntries(const MembershipView& membership,
-                const Aggregators& aggregators) {
+bool HasNonAggregators(const MembershipView& membership,
+                       const Aggregators& aggregators) {
   return std::any_of(
       membership.members.begin(), membership.members.end(),
       [&](const auto& row) {
@@ -213,13 +214,13 @@
   }
   const DomainsOfShards domains_of = FindDomains(leaves, shards);
   const Aggregators aggregators =
-      FindAggregators(membership, DomainsWithEnough(domains_of));
+      FindAggregators(membership, DomainsWithEnoughShards(domains_of));
   for (auto& [domain, group] : GroupByDomain(shards, domains_of, aggregators,
                                              membership, self->second)) {
     choice.parts.push_back(
         {std::move(group), PeersFor(domain, aggregators, membership)});
   }
-  if (!HasEntries(membership, aggregators)) {
+  if (!HasNonAggregators(membership, aggregators)) {
     return choice;
   }
   for (const auto& [shard, domains] : domains_of) {
--- a/src/routing/aggregator_choice.h
+++ b/src/routing/aggregator_choice.h
@@ -27,7 +27,7 @@
 
 // Most peers that one daemon hands a part to: a primary and two fallbacks.
 // Bounds the number of connections between daemons.
-constexpr std::size_t kMostAggregatorsUsed = 3;
+constexpr std::size_t kMaxAggregatorsUsed = 3;
 
 struct AggregatorPart {
   std::vector<std::string> shards;
--- a/tests/routing/aggregator_choice_test.cc
+++ b/tests/routing/aggregator_choice_test.cc
@@ -159,7 +159,7 @@
   }
   for (int index = 0; index < 40; ++index) {
     const AggregatorChoice choice = ChooseFor("small" + std::to_string(index));
-    ASSERT_EQ(choice.parts[0].peers.size(), kMostAggregatorsUsed);
+    ASSERT_EQ(choice.parts[0].peers.size(), kMaxAggregatorsUsed);
     first.insert(FirstPeer(choice.parts[0]));
   }
   EXPECT_GE(first.size(), 6U);
