--- a/src/query/query_session.cc
+++ b/src/query/query_session.cc
@@ -342,7 +342,7 @@
   for (auto& [range, shard] : shards_) {
     if (shard.state != ShardState::kWaiting || is_at_most_once() ||
         shard.tries >= kMostTries ||
-        now - shard.asked < routing::SubQueryClient::kSilence ||
+        now - shard.asked < routing::SubQueryClient::kSilenceTimeout ||
         !dependencies_->sub_queries->is_silent(shard.owner)) {
       continue;
     }
--- a/src/routing/sub_query_client.cc
+++ b/src/routing/sub_query_client.cc
@@ -39,7 +39,7 @@
     id = next_id_++;
     const auto now = clock_.Now();
     if (!is_self) {
-      activity_[request.owner].owed.emplace(now, id);
+      activity_[request.owner].outstanding.emplace(now, id);
     }
     pending_[id] =
         Pending{request, std::move(callback), now, {}, request.ranges};
@@ -92,7 +92,7 @@
       return false;
     }
     Pending& pending = row->second;
-    if (std::erase(pending.owed, range) == 0) {
+    if (std::erase(pending.outstanding, range) == 0) {
       return false;
     }
     const base::Duration elapsed = clock_.Now() - pending.sent;
@@ -101,7 +101,7 @@
                     pending.request.region, result.load,
                     std::max(base::Duration::zero(), elapsed - result.held));
     callback = pending.callback;
-    if (pending.owed.empty()) {
+    if (pending.outstanding.empty()) {
       ForgetActivity(pending, id);
       pending_.erase(row);
     }
@@ -115,7 +115,7 @@
   if (row == activity_.end()) {
     return;
   }
-  std::erase_if(row->second.owed,
+  std::erase_if(row->second.outstanding,
                 [id](const auto& entry) { return entry.second == id; });
 }
 
@@ -134,7 +134,7 @@
   if (cancelled->request.owner == blackboard_.membership.Read()->self) {
     const auto dispatcher =
         dispatchers_->Of(cancelled->request.common.collection);
-    for (const KeyRange& range : cancelled->owed) {
+    for (const KeyRange& range : cancelled->outstanding) {
       dispatcher->Cancel(cancelled->jobs[range]);
     }
     return;
@@ -172,16 +172,16 @@
 void SubQueryClient::FailAll(std::uint64_t id,
                              ShardOutcome outcome,
                              const base::Error& error) {
-  std::vector<KeyRange> owed;
+  std::vector<KeyRange> outstanding;
   {
     const std::lock_guard lock(mutex_);
     const auto row = pending_.find(id);
     if (row == pending_.end()) {
       return;
     }
-    owed = row->second.owed;
+    outstanding = row->second.outstanding;
   }
-  for (const KeyRange& range : owed) {
+  for (const KeyRange& range : outstanding) {
     ShardResult result;
     result.outcome = outcome;
     result.error = error;
@@ -197,7 +197,7 @@
     if (row == activity_.end()) {
       return;
     }
-    for (const auto& [sent, id] : row->second.owed) {
+    for (const auto& [sent, id] : row->second.outstanding) {
       lost.push_back(id);
     }
   }
@@ -211,12 +211,12 @@
 bool SubQueryClient::is_silent(const std::string& peer) const {
   const std::lock_guard lock(mutex_);
   const auto row = activity_.find(peer);
-  if (row == activity_.end() || row->second.owed.empty()) {
+  if (row == activity_.end() || row->second.outstanding.empty()) {
     return false;
   }
   const auto silent_since =
-      std::max(row->second.last_heard, row->second.owed.begin()->first);
-  return clock_.Now() - silent_since >= kSilence;
+      std::max(row->second.last_heard, row->second.outstanding.begin()->first);
+  return clock_.Now() - silent_since >= kSilenceTimeout;
 }
 
 void SubQueryClient::DidHearFrom(const std::string& peer) {
--- a/src/routing/sub_query_client.h
+++ b/src/routing/sub_query_client.h
@@ -60,12 +60,13 @@
   void DidLosePeer(const std::string& peer);
 
   // Whether replies from the peer are outstanding and no message has arrived
-  // from it for kSilence, so that it may be frozen, unreachable or overloaded.
+  // from it for kSilenceTimeout, so that it may be frozen, unreachable or
+  // overloaded.
   bool is_silent(const std::string& peer) const;
   // Records that any message arrived from the peer.
   void DidHearFrom(const std::string& peer);
 
-  static constexpr base::Duration kSilence = base::Milliseconds(150);
+  static constexpr base::Duration kSilenceTimeout = base::Milliseconds(150);
 
  private:
   struct Pending {
@@ -75,13 +76,13 @@
     // Local job of each range; used only when this daemon is the owner.
     std::map<blackboard::KeyRange, std::uint64_t> jobs;
     // The ranges without a reply. Invariant: not empty.
-    std::vector<blackboard::KeyRange> owed;
+    std::vector<blackboard::KeyRange> outstanding;
   };
 
   struct PeerActivity {
     base::MonotonicTime last_heard;
     // Identifiers of the sub-queries without a complete reply, by send time.
-    std::multimap<base::MonotonicTime, std::uint64_t> owed;
+    std::multimap<base::MonotonicTime, std::uint64_t> outstanding;
   };
 
   void SendToSelf(std::uint64_t id, const SubQueryRequest& request);
--- a/src/routing/sub_query_server.cc
+++ b/src/routing/sub_query_server.cc
@@ -10,8 +10,8 @@
 
 // Time after which another owner has probably taken over from a stopping
 // daemon.
-constexpr base::Duration kTakeOver = base::Milliseconds(100);
-constexpr std::size_t kRemembered = 65536;
+constexpr base::Duration kTakeoverDelay = base::Milliseconds(100);
+constexpr std::size_t kMaxRemembered = 65536;
 
 }  // namespace
 
@@ -50,13 +50,13 @@
   if (!is_at_most_once) {
     return true;
   }
-  if (!remembered_.insert(key).second) {
+  if (!seen_at_most_once_.insert(key).second) {
     return false;
   }
-  remembered_order_.push_back(key);
-  if (remembered_order_.size() > kRemembered) {
-    remembered_.erase(remembered_order_.front());
-    remembered_order_.pop_front();
+  seen_order_.push_back(key);
+  if (seen_order_.size() > kMaxRemembered) {
+    seen_at_most_once_.erase(seen_order_.front());
+    seen_order_.pop_front();
   }
   return true;
 }
@@ -82,7 +82,7 @@
   result.error =
       base::MakeError(base::ErrorCode::kStopping, base::Step::kForward, "",
                       "daemon is stopping");
-  result.retry_after = kTakeOver;
+  result.retry_after = kTakeoverDelay;
   (void)peers_.send(key.first, ToWire(key.second, request, result));
 }
 
--- a/src/routing/sub_query_server.h
+++ b/src/routing/sub_query_server.h
@@ -67,10 +67,10 @@
   std::map<Key, Accepted> accepted_;
   // At-most-once sub-queries received so far, and their order, oldest first. A
   // duplicate must not run again even after the original is finished. Bounded
-  // by kRemembered: a link delivers a duplicate close to the original or not at
-  // all.
-  std::set<Key> remembered_;
-  std::deque<Key> remembered_order_;
+  // by kMaxRemembered: a link delivers a duplicate close to the original or not
+  // at all.
+  std::set<Key> seen_at_most_once_;
+  std::deque<Key> seen_order_;
   bool is_accepting_ = true;
 };
 
--- a/tests/routing/sub_query_client_test.cc
+++ b/tests/routing/sub_query_client_test.cc
@@ -125,7 +125,7 @@
 TEST_F(SubQueryClientTest, NoticesASilentPeer) {
   Send("vm-b");
   EXPECT_FALSE(client_->is_silent("vm-b"));
-  world_.scheduler->Advance(SubQueryClient::kSilence);
+  world_.scheduler->Advance(SubQueryClient::kSilenceTimeout);
   EXPECT_TRUE(client_->is_silent("vm-b"));
   client_->DidHearFrom("vm-b");
   EXPECT_FALSE(client_->is_silent("vm-b"));
