--- a/src/routing/dispatcher.cc
+++ b/src/routing/dispatcher.cc
@@ -18,8 +18,8 @@
 
 // Interval at which non-empty queues are pumped even if no reply triggers it: a
 // leaf may have become usable through a change of the upstreams view.
-constexpr Duration kTick = base::Milliseconds(10);
-constexpr int kMostRetries = 3;
+constexpr Duration kPumpInterval = base::Milliseconds(10);
+constexpr int kMaxRetries = 3;
 
 // A request is in the queue at most twice: once for its first send (or a retry)
 // and once for its second send.
@@ -169,7 +169,7 @@
     return;
   }
   is_tick_armed_ = true;
-  runner_.After(kTick, [self = shared_from_this()] {
+  runner_.After(kPumpInterval, [self = shared_from_this()] {
     self->is_tick_armed_ = false;
     self->PumpAll();
     if (self->queues_.total_queued() > 0) {
@@ -207,7 +207,7 @@
                        reply.service_time = self->clock_.Now() - now;
                        self->runner_.Post([self, id, attempt_id, upstream, key,
                                            reply = std::move(reply)] {
-                         self->DidLeaveLeaf(key, upstream, reply);
+                         self->ReleaseLeafSlot(key, upstream, reply);
                          self->DidReply(id, attempt_id, upstream, reply);
                          self->Pump(key);
                          self->PumpLeaf(upstream);
@@ -217,9 +217,9 @@
 
 // Frees the slot at the leaf even if the request has been cancelled or finished
 // in the meantime.
-void Dispatcher::DidLeaveLeaf(const ShardKey& key,
-                              const blackboard::Upstream& upstream,
-                              const upstream::LeafReply& reply) {
+void Dispatcher::ReleaseLeafSlot(const ShardKey& key,
+                                 const blackboard::Upstream& upstream,
+                                 const upstream::LeafReply& reply) {
   windows_->Release(upstream.name, reply);
   queues_.DidFinish(key);
   ports_.observe(upstream.name, reply);
@@ -367,7 +367,7 @@
     return NextStep::kRetryNow;
   }
   const bool is_late = job.request.target_due <= clock_.Now();
-  if (job.retries >= kMostRetries || is_late || !retries_.Take()) {
+  if (job.retries >= kMaxRetries || is_late || !retries_.Take()) {
     return NextStep::kGiveUp;
   }
   if (has_other_replica) {
--- a/src/routing/dispatcher.h
+++ b/src/routing/dispatcher.h
@@ -101,9 +101,9 @@
   void ArmSecondSend(std::uint64_t id, ShardJob& job);
   void SecondSendIsDue(std::uint64_t id);
   void DidForwardedReply(std::uint64_t id, ShardResult result);
-  void DidLeaveLeaf(const ShardKey& key,
-                    const blackboard::Upstream& upstream,
-                    const upstream::LeafReply& reply);
+  void ReleaseLeafSlot(const ShardKey& key,
+                       const blackboard::Upstream& upstream,
+                       const upstream::LeafReply& reply);
   void DidReply(std::uint64_t id,
                 const std::string& attempt_id,
                 const blackboard::Upstream& upstream,
--- a/src/routing/leaf_windows.cc
+++ b/src/routing/leaf_windows.cc
@@ -27,11 +27,12 @@
     NoteColdStart(upstream, found->second);
     return found->second;
   }
-  const int places =
-      std::max(1, std::min({InFlightLimit(policy_, upstream),
-                            upstream.slots + kInPipe, upstream.connections}));
-  Row row{admission::LeafWindow(places, std::max(1, upstream.connections)), 0,
-          base::MonotonicTime{}};
+  const int max_in_flight = std::max(
+      1, std::min({InFlightLimit(policy_, upstream),
+                   upstream.slots + kPipelinedRequests, upstream.connections}));
+  Row row{
+      admission::LeafWindow(max_in_flight, std::max(1, upstream.connections)),
+      0, base::MonotonicTime{}};
   NoteColdStart(upstream, row);
   return rows_.emplace(upstream.name, std::move(row)).first->second;
 }
--- a/src/routing/load_table.cc
+++ b/src/routing/load_table.cc
@@ -10,8 +10,8 @@
 namespace {
 
 // Used until the first reply: round trips inside a region and between regions.
-constexpr base::Duration kOwnRegionGuess = base::Milliseconds(1);
-constexpr base::Duration kOtherRegionGuess = base::Milliseconds(20);
+constexpr base::Duration kInitialOwnRegionTime = base::Milliseconds(1);
+constexpr base::Duration kInitialOtherRegionTime = base::Milliseconds(20);
 constexpr double kNetworkWeight = 0.1;
 // How long a report of a slow leaf stays valid.
 constexpr base::Duration kExcessLifetime = base::Milliseconds(5000);
@@ -62,7 +62,7 @@
   if (row != network_.end()) {
     return row->second;
   }
-  return is_own_region ? kOwnRegionGuess : kOtherRegionGuess;
+  return is_own_region ? kInitialOwnRegionTime : kInitialOtherRegionTime;
 }
 
 }  // namespace medlarspread::routing
--- a/src/routing/peer_health.cc
+++ b/src/routing/peer_health.cc
@@ -9,8 +9,8 @@
 namespace {
 
 // A restarting daemon is available again within one or two seconds.
-constexpr base::Duration kFirstPause = base::Milliseconds(1'000);
-constexpr int kMostDoublings = 3;
+constexpr base::Duration kInitialPause = base::Milliseconds(1'000);
+constexpr int kMaxDoublings = 3;
 
 }  // namespace
 
@@ -25,9 +25,9 @@
 
 base::Duration PeerHealth::DidFail(const std::string& peer) {
   Row& row = rows_[peer];
-  const int doublings = std::min(row.failures_in_a_row, kMostDoublings);
+  const int doublings = std::min(row.failures_in_a_row, kMaxDoublings);
   ++row.failures_in_a_row;
-  const base::Duration pause = kFirstPause * (1 << doublings);
+  const base::Duration pause = kInitialPause * (1 << doublings);
   row.avoid_until = clock_.Now() + pause;
   return pause;
 }
--- a/src/routing/policy.cc
+++ b/src/routing/policy.cc
@@ -69,15 +69,16 @@
 }
 
 int InFlightLimit(const Policy& policy, const blackboard::Upstream& upstream) {
-  return std::visit(
-      base::Overloaded{
-          [&](const QueueOwnerPolicy&) { return upstream.slots + kInPipe; },
-          [](const FixedSharePolicy&) { return 1; },
-          [](const RandomReplicaPolicy&) {
-            return std::numeric_limits<int>::max();
-          },
-      },
-      policy);
+  return std::visit(base::Overloaded{
+                        [&](const QueueOwnerPolicy&) {
+                          return upstream.slots + kPipelinedRequests;
+                        },
+                        [](const FixedSharePolicy&) { return 1; },
+                        [](const RandomReplicaPolicy&) {
+                          return std::numeric_limits<int>::max();
+                        },
+                    },
+                    policy);
 }
 
 admission::UrgencyOrder OrderOf(const Policy& policy) {
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -52,7 +52,7 @@
 
 // Requests that a queue owner keeps in flight at a leaf beyond its slots, so
 // that a freed slot has work immediately and not only after a round trip.
-constexpr int kInPipe = 1;
+constexpr int kPipelinedRequests = 1;
 
 // Most requests that the daemon may keep in flight at a leaf.
 int InFlightLimit(const Policy& policy, const blackboard::Upstream& upstream);
--- a/src/routing/replica_pool.cc
+++ b/src/routing/replica_pool.cc
@@ -74,7 +74,7 @@
   return best;
 }
 
-std::vector<const blackboard::Upstream*> ReplicaPool::UsableOf(
+std::vector<const blackboard::Upstream*> ReplicaPool::UsableReplicas(
     const ShardKey& shard) {
   std::vector<const blackboard::Upstream*> usable;
   for (const auto* replica : Index().ReplicasOf(shard)) {
@@ -85,8 +85,8 @@
   return usable;
 }
 
-void ReplicaPool::CountPlaces(const ShardKey& shard, ShardLoad& load) {
-  for (const auto* replica : UsableOf(shard)) {
+void ReplicaPool::AddInFlight(const ShardKey& shard, ShardLoad& load) {
+  for (const auto* replica : UsableReplicas(shard)) {
     load.running += windows_->in_flight(*replica);
     load.slots += windows_->limit(*replica);
   }
--- a/src/routing/replica_pool.h
+++ b/src/routing/replica_pool.h
@@ -44,7 +44,8 @@
                                    const std::set<std::string>& exhausted);
 
   // The replicas that this daemon may send to.
-  std::vector<const blackboard::Upstream*> UsableOf(const ShardKey& shard);
+  std::vector<const blackboard::Upstream*> UsableReplicas(
+      const ShardKey& shard);
 
   // Current in-flight limit of the replica.
   int LimitOf(const blackboard::Upstream& replica) {
@@ -53,7 +54,7 @@
 
   // Adds the requests in flight at the shard's replicas and their limits to
   // `load`.
-  void CountPlaces(const ShardKey& shard, ShardLoad& load);
+  void AddInFlight(const ShardKey& shard, ShardLoad& load);
 
  private:
   const ReplicaIndex& Index();
--- a/src/routing/shard_load_estimator.cc
+++ b/src/routing/shard_load_estimator.cc
@@ -15,7 +15,8 @@
 
 constexpr double kMicrosecondsPerSecond = 1e6;
 // Sorts a new request behind all queued requests that are due at the same time.
-constexpr std::uint64_t kNewcomer = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t kLastInOrder =
+    std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace
 
@@ -46,8 +47,8 @@
   const ShardKey shard{request.snapshot, request.range};
   ShardLoad load;
   load.queued = static_cast<int>(queues_.queued(shard));
-  replicas_.CountPlaces(shard, load);
-  const auto replicas = replicas_.UsableOf(shard);
+  replicas_.AddInFlight(shard, load);
+  const auto replicas = replicas_.UsableReplicas(shard);
   if (!HasEntryGate(policy_) || replicas.empty()) {
     return load;
   }
@@ -74,8 +75,8 @@
   const int busy = std::max(0, load.running - load.slots + 1);
   const auto targets = blackboard_.targets.Read();
   const auto row = targets->classes.find(request.class_name);
-  const admission::QueueItem newcomer{
-      .id = kNewcomer,
+  const admission::QueueItem new_item{
+      .id = kLastInOrder,
       .class_name = request.class_name,
       .target_due = row == targets->classes.end()
                         ? request.target_due
@@ -85,7 +86,7 @@
   const Duration until_free(static_cast<std::int64_t>(
       busy * kMicrosecondsPerSecond / completions_per_second));
   return until_free + queues_.ExpectedWait({request.snapshot, request.range},
-                                           newcomer, completions_per_second);
+                                           new_item, completions_per_second);
 }
 
 }  // namespace medlarspread::routing
