--- a/tests/routing/aggregator_choice_test.cc
+++ b/tests/routing/aggregator_choice_test.cc
@@ -59,7 +59,7 @@
   UpstreamsView upstreams_;
 };
 
-TEST_F(AggregatorChoiceTest, EqualDaemonsBesideTheLeavesFanOutThemselves) {
+TEST_F(AggregatorChoiceTest, EqualDaemonsNearTheLeavesFanOutThemselves) {
   AddDaemon("x", "n1", 0.25);
   AddDaemon("y", "n1", 0.25);
   const AggregatorChoice choice = ChooseFor("x");
@@ -124,7 +124,7 @@
   EXPECT_EQ(choice.parts[0].shards.size(), 4U);
 }
 
-TEST_F(AggregatorChoiceTest, WhoeverSendsToAShardHasAShareOfIt) {
+TEST_F(AggregatorChoiceTest, EverySenderToAShardSharesItsBudget) {
   // Region n has lost its leaf of the shard.
   upstreams_.upstreams.erase("dn1");
   AddDaemon("large", "n1", 0.5);
@@ -165,7 +165,7 @@
   EXPECT_GE(first.size(), 6U);
 }
 
-TEST_F(AggregatorChoiceTest, WithoutLeavesInTheRegionEverybodyFansOut) {
+TEST_F(AggregatorChoiceTest, WithoutLeavesInTheRegionEveryDaemonFansOut) {
   for (auto& [name, leaf] : upstreams_.upstreams) {
     if (leaf.failure_domain == "n1") {
       leaf.state = blackboard::UpstreamState::kDraining;
@@ -185,7 +185,7 @@
   EXPECT_TRUE(ChooseFor("small").parts[0].peers.empty());
 }
 
-TEST_F(AggregatorChoiceTest, BeforeAnyMemberIsKnownEverythingIsDoneHere) {
+TEST_F(AggregatorChoiceTest, WithoutKnownMembersTheDaemonFansOutItself) {
   const AggregatorChoice choice = ChooseFor("x");
   ASSERT_EQ(choice.parts.size(), 1U);
   EXPECT_EQ(choice.parts[0].shards, shards_);
--- a/tests/routing/dispatcher_test.cc
+++ b/tests/routing/dispatcher_test.cc
@@ -57,7 +57,7 @@
   }
 
   // Produces enough replies of 5 ms for the second-send policy to have a delay.
-  void TeachServiceTime() {
+  void RecordServiceTimes() {
     for (int i = 0; i < 200; ++i) {
       const auto result = Submit(MakeRequest());
       world_.scheduler->Advance(Milliseconds(5));
@@ -94,7 +94,7 @@
 }
 
 TEST_F(DispatcherTest, SecondSendWinsAndLoserIsCancelled) {
-  TeachServiceTime();
+  RecordServiceTimes();
   const auto result = Submit(MakeRequest());
   ASSERT_EQ(world_.sends.size(), 1U);
   world_.scheduler->Advance(Milliseconds(60));
@@ -110,7 +110,7 @@
 }
 
 TEST_F(DispatcherTest, SecondSendGoesToAnotherRegionWithoutLocalReplica) {
-  TeachServiceTime();
+  RecordServiceTimes();
   world_.SetLeafState("leaf-2", UpstreamState::kDraining);
   world_.has_other_region = true;
   const auto result = Submit(MakeRequest());
@@ -129,7 +129,7 @@
 }
 
 TEST_F(DispatcherTest, AtMostOnceIsNeverSentAgain) {
-  TeachServiceTime();
+  RecordServiceTimes();
   for (const LeafOutcome failure :
        {LeafOutcome::kTimeout, LeafOutcome::kLost, LeafOutcome::kMismatch}) {
     world_.sends.clear();
@@ -146,7 +146,7 @@
   }
 }
 
-TEST_F(DispatcherTest, AtMostOnceGoesElsewhereAfterACertainRefusal) {
+TEST_F(DispatcherTest, AtMostOnceIsRetriedAfterACertainRefusal) {
   ShardRequest request = MakeRequest();
   request.is_at_most_once = true;
   const auto result = Submit(request);
@@ -228,7 +228,7 @@
   EXPECT_EQ(world_.cancelled_attempts.size(), world_.sends.size());
 }
 
-TEST_F(DispatcherTest, ShedLeafIsAskedAgainOnlyAfterItsTime) {
+TEST_F(DispatcherTest, ShedRequestIsRetriedOnlyAfterRetryAfter) {
   world_.SetLeafState("leaf-2", UpstreamState::kUnreachable);
   const auto result = Submit(MakeRequest());
   world_.Fail(0, LeafOutcome::kShed, Milliseconds(20));
@@ -242,7 +242,7 @@
   EXPECT_EQ((*result)->outcome, ShardOutcome::kAnswered);
 }
 
-TEST_F(DispatcherTest, ShedWithoutOtherReplicaSaysWhenToComeBack) {
+TEST_F(DispatcherTest, ShedWithoutOtherReplicaReportsRetryAfter) {
   world_.SetLeafState("leaf-2", UpstreamState::kUnreachable);
   ShardRequest request = MakeRequest();
   request.deadline = world_.clock.Now() + Milliseconds(20);
@@ -265,7 +265,7 @@
 }
 
 TEST_F(DispatcherTest, ASecondSendElsewhereThatMayHaveRunIsUnknown) {
-  TeachServiceTime();
+  RecordServiceTimes();
   world_.SetLeafState("leaf-2", UpstreamState::kDraining);
   world_.has_other_region = true;
   const auto result = Submit(MakeRequest());
--- a/tests/routing/leaf_pace_test.cc
+++ b/tests/routing/leaf_pace_test.cc
@@ -26,12 +26,12 @@
   }
 
   // How many requests may be in flight now.
-  std::size_t Room() const {
-    std::size_t room = 0;
-    while (room < kMany && pace_.MaySend(room, now_)) {
-      ++room;
+  std::size_t Capacity() const {
+    std::size_t capacity = 0;
+    while (capacity < kMany && pace_.MaySend(capacity, now_)) {
+      ++capacity;
     }
-    return room;
+    return capacity;
   }
 
   static constexpr std::size_t kMany = 1'000;
@@ -39,33 +39,33 @@
   MonotonicTime now_ = MonotonicTime{} + Milliseconds(1'000);
 };
 
-TEST_F(LeafPaceTest, BoundsNothingBeforeARequestWasLate) {
-  EXPECT_EQ(Room(), kMany);
+TEST_F(LeafPaceTest, HasNoLimitBeforeALateReply) {
+  EXPECT_EQ(Capacity(), kMany);
   End(10, true, Milliseconds(20));
-  EXPECT_EQ(Room(), kMany);
+  EXPECT_EQ(Capacity(), kMany);
 }
 
-TEST_F(LeafPaceTest, BeginsAtWhatWasInFlight) {
+TEST_F(LeafPaceTest, StartsAtTheRequestsInFlight) {
   pace_.DidEnd(false, Milliseconds(200), 99, now_);
-  EXPECT_EQ(Room(), 70U);
+  EXPECT_EQ(Capacity(), 70U);
 }
 
-TEST_F(LeafPaceTest, OnePauseBoundsNothingThatMatters) {
+TEST_F(LeafPaceTest, OnePauseCausesNoEffectiveLimit) {
   End(4, false, Milliseconds(60));
-  EXPECT_GE(Room(), 3U);
+  EXPECT_GE(Capacity(), 3U);
 }
 
-TEST_F(LeafPaceTest, LateRepliesOfOneMomentCountOnce) {
+TEST_F(LeafPaceTest, ABurstOfLateRepliesCountsOnce) {
   pace_.DidEnd(false, Milliseconds(200), 99, now_);
   now_ = now_ + Milliseconds(10);
   pace_.DidEnd(false, Milliseconds(200), 98, now_);
-  EXPECT_EQ(Room(), 70U);
+  EXPECT_EQ(Capacity(), 70U);
   now_ = now_ + Milliseconds(50);
   pace_.DidEnd(false, Milliseconds(200), 97, now_);
-  EXPECT_EQ(Room(), 49U);
+  EXPECT_EQ(Capacity(), 49U);
 }
 
-TEST_F(LeafPaceTest, ALeafThatIsAlwaysLateIsTriedNowAndThen) {
+TEST_F(LeafPaceTest, ALeafThatIsAlwaysLateIsProbed) {
   End(40, false, Milliseconds(200));
   pace_.DidSend(now_);
   EXPECT_FALSE(pace_.MaySend(0, now_ + Milliseconds(3'900)));
@@ -73,23 +73,23 @@
   EXPECT_FALSE(pace_.MaySend(1, now_ + Milliseconds(4'000)));
 }
 
-TEST_F(LeafPaceTest, RepliesInTimeWidenIt) {
+TEST_F(LeafPaceTest, RepliesInTimeIncreaseTheWindow) {
   End(40, false, Milliseconds(200));
-  EXPECT_LE(Room(), 1U);
+  EXPECT_LE(Capacity(), 1U);
   End(30, true, Milliseconds(20));
-  EXPECT_GE(Room(), 2U);
+  EXPECT_GE(Capacity(), 2U);
 }
 
-TEST_F(LeafPaceTest, EnoughRepliesInTimeEndIt) {
+TEST_F(LeafPaceTest, EnoughRepliesInTimeRemoveTheLimit) {
   End(40, false, Milliseconds(200));
   End(170, true, Milliseconds(20));
-  EXPECT_EQ(Room(), kMany);
+  EXPECT_EQ(Capacity(), kMany);
 }
 
 // Three daemons share a leaf with three slots that has become ten times slower:
 // it can serve 20 requests/s of 150 ms, and each daemon receives 30 requests/s.
 // The window keeps most of the sent requests in time.
-TEST_F(LeafPaceTest, DaemonsThatShareASlowLeafFindTheirParts) {
+TEST_F(LeafPaceTest, DaemonsThatShareASlowLeafStayInTime) {
   constexpr int kDaemons = 3;
   constexpr auto kWork = Milliseconds(150);
   constexpr auto kTarget = Milliseconds(190);
--- a/tests/routing/leaf_tracker_test.cc
+++ b/tests/routing/leaf_tracker_test.cc
@@ -82,14 +82,14 @@
   EXPECT_EQ(Choose(), &near_);
 }
 
-TEST_F(LeafTrackerTest, GoesRoundALeafWithAnOverdueRequest) {
+TEST_F(LeafTrackerTest, AvoidsALeafWithAnOverdueRequest) {
   Learn();
   tracker_.DidSend(near_, clock_.Now());
   time_->Advance(base::Milliseconds(50));
   EXPECT_EQ(Choose(), &far_);
 }
 
-TEST_F(LeafTrackerTest, ComesBackWithTheFirstReplyAfterAPause) {
+TEST_F(LeafTrackerTest, ReturnsWithTheFirstReplyAfterAPause) {
   Learn();
   const base::MonotonicTime sent = clock_.Now();
   tracker_.DidSend(near_, sent);
@@ -103,7 +103,7 @@
   EXPECT_EQ(Choose(), &near_);
 }
 
-TEST_F(LeafTrackerTest, LeavesALeafThatIsSlowForEveryRequest) {
+TEST_F(LeafTrackerTest, AvoidsALeafThatIsSlowForEveryRequest) {
   Learn();
   for (int request = 0; request < 10; ++request) {
     Serve(near_, 70);
@@ -170,7 +170,7 @@
   }
 }
 
-TEST_F(LeafTrackerTest, GoesRoundALeafThatRefusesEveryOtherRequest) {
+TEST_F(LeafTrackerTest, AvoidsALeafThatRefusesEveryOtherRequest) {
   Learn();
   int near = 0;
   for (int request = 0; request < 200; ++request) {
@@ -196,7 +196,7 @@
 
 // The near leaf loses every other answer. A reply from the far one takes 40 ms
 // longer but is still in time.
-TEST_F(LeafTrackerTest, ASoundLeafFartherAwayBeatsOneThatLosesAnswers) {
+TEST_F(LeafTrackerTest, PrefersAHealthyFarLeafToOneThatLosesAnswers) {
   for (int request = 0; request < 100; ++request) {
     Serve(near_, 8);
     Serve(far_, 48);
@@ -213,7 +213,7 @@
 
 // One answer was lost a while ago: a repeatable request still goes to the near
 // leaf, but one that must not be repeated avoids it.
-TEST_F(LeafTrackerTest, AFailureThatIsFinalWeighsMore) {
+TEST_F(LeafTrackerTest, UnrepeatableRequestsWeighFailuresMore) {
   Learn();
   Serve(near_, 8, LeafOutcome::kLost);
   time_->Advance(Milliseconds(3'000));
@@ -223,7 +223,7 @@
   EXPECT_EQ(ChooseFor(final), &far_);
 }
 
-TEST_F(LeafTrackerTest, WhatTheCallerCanDoWithoutIsNotSentToALateLeaf) {
+TEST_F(LeafTrackerTest, OptionalRequestsAreNotSentToALateLeaf) {
   Learn();
   const LeafRequirements needed{kClass, Milliseconds(100)};
   LeafRequirements optional = needed;
@@ -243,7 +243,7 @@
   EXPECT_EQ(ChooseFor(needed, {"far"}), &near_);
 }
 
-TEST_F(LeafTrackerTest, OneReplyWithoutNeedIsWaitedForAtATime) {
+TEST_F(LeafTrackerTest, AwaitsOneUnneededReplyPerLeaf) {
   const base::MonotonicTime first = clock_.Now();
   tracker_.DidSend(near_, first);
   time_->Advance(Milliseconds(1));
@@ -259,27 +259,27 @@
 }
 
 // A daemon without replies of its own relies on the reports of other daemons.
-class HeardReportsTest : public LeafTrackerTest {
+class ReceivedReportsTest : public LeafTrackerTest {
  protected:
   void Hear(const Upstream& leaf, int replies, int failures, int work_ms) {
     tracker_.DidHear(
         {leaf.name, kClass, replies, failures, Milliseconds(work_ms)});
   }
 
-  const Upstream* ChooseForOnce() {
+  const Upstream* ChooseForUnrepeatable() {
     return ChooseFor({kClass, Milliseconds(300), false});
   }
 };
 
-TEST_F(HeardReportsTest, OneFailureThatIsHeardOfSendsFinalRequestsElsewhere) {
-  EXPECT_EQ(ChooseForOnce(), &near_);
+TEST_F(ReceivedReportsTest, OneReportedFailureDivertsUnrepeatableRequests) {
+  EXPECT_EQ(ChooseForUnrepeatable(), &near_);
   Hear(near_, 1, 1, 0);
-  EXPECT_EQ(ChooseForOnce(), &far_);
+  EXPECT_EQ(ChooseForUnrepeatable(), &far_);
   time_->Advance(Milliseconds(15'000));
-  EXPECT_EQ(ChooseForOnce(), &near_);
+  EXPECT_EQ(ChooseForUnrepeatable(), &near_);
 }
 
-TEST_F(HeardReportsTest, ASlowReplyThatIsHeardOfSendsRequestsElsewhere) {
+TEST_F(ReceivedReportsTest, OneReportedSlowReplyDivertsRequests) {
   Hear(far_, 10, 0, 60);
   Hear(near_, 10, 0, 60);
   EXPECT_EQ(Choose(), &near_);
@@ -287,15 +287,15 @@
   EXPECT_EQ(Choose(), &far_);
 }
 
-TEST_F(HeardReportsTest, SoundRepliesBringALeafBack) {
+TEST_F(ReceivedReportsTest, ReportedGoodRepliesRestoreALeaf) {
   Hear(near_, 1, 1, 0);
-  EXPECT_EQ(ChooseForOnce(), &far_);
+  EXPECT_EQ(ChooseForUnrepeatable(), &far_);
   Hear(near_, 15, 0, 10);
-  EXPECT_EQ(ChooseForOnce(), &near_);
+  EXPECT_EQ(ChooseForUnrepeatable(), &near_);
 }
 
 // A leaf is chosen however bad the reports are.
-TEST_F(HeardReportsTest, NoReportLeavesACollectionWithoutALeaf) {
+TEST_F(ReceivedReportsTest, NoReportLeavesACollectionWithoutALeaf) {
   for (int report = 0; report < 100; ++report) {
     Hear(near_, 20, 20, 0);
     Hear(far_, 20, 10, 600'000);
@@ -303,14 +303,14 @@
   EXPECT_NE(Choose(), nullptr);
 }
 
-TEST_F(HeardReportsTest, OwnRepliesWeighMore) {
+TEST_F(ReceivedReportsTest, OwnRepliesWeighMore) {
   Serve(near_, 1, LeafOutcome::kLost);
   Hear(far_, 1, 1, 0);
   time_->Advance(Milliseconds(1'000));
-  EXPECT_EQ(ChooseForOnce(), &far_);
+  EXPECT_EQ(ChooseForUnrepeatable(), &far_);
 }
 
-TEST_F(HeardReportsTest, TellsOfLeavesThatItSeldomSendsTo) {
+TEST_F(ReceivedReportsTest, ReportsLeavesThatItRarelySendsTo) {
   Serve(near_, 8);
   Serve(near_, 1, LeafOutcome::kLost);
   const auto reports = tracker_.TakeReports();
@@ -319,7 +319,7 @@
   EXPECT_TRUE(tracker_.TakeReports().empty());
 }
 
-TEST_F(HeardReportsTest, TellsNothingOfLeavesThatItSendsToOften) {
+TEST_F(ReceivedReportsTest, DoesNotReportLeavesThatItOftenSendsTo) {
   Learn();
   (void)tracker_.TakeReports();
   Serve(near_, 8);
@@ -330,7 +330,7 @@
   EXPECT_EQ(tracker_.TakeReports().size(), 1U);
 }
 
-TEST_F(HeardReportsTest, AnOverdueRequestIsToldOfBeforeItsReply) {
+TEST_F(ReceivedReportsTest, ReportsAnOverdueRequestBeforeItsReply) {
   tracker_.DidSend(near_, clock_.Now());
   tracker_.DidStall(near_, kClass, Milliseconds(150));
   const auto reports = tracker_.TakeReports();
@@ -338,7 +338,7 @@
   EXPECT_EQ(reports[0].work, Milliseconds(150));
 }
 
-TEST_F(LeafTrackerTest, ALeafThatWasReplacedGetsNothingMore) {
+TEST_F(LeafTrackerTest, AReplacedLeafGetsNoRequests) {
   Serve(near_, 1, LeafOutcome::kReplaced);
   EXPECT_EQ(Choose(), &far_);
   // This holds even if there is no other leaf.
@@ -350,7 +350,7 @@
 
 // The leaf may have been marked as replaced by mistake, so one probe is sent
 // every 30 s.
-TEST_F(LeafTrackerTest, ALeafThatWasReplacedIsAskedAgainByOneRequest) {
+TEST_F(LeafTrackerTest, AReplacedLeafIsProbedByOneRequest) {
   Serve(near_, 1, LeafOutcome::kReplaced);
   time_->Advance(Milliseconds(30'000));
   EXPECT_EQ(Choose({"far"}), &near_);
--- a/tests/routing/leaf_windows_test.cc
+++ b/tests/routing/leaf_windows_test.cc
@@ -46,7 +46,7 @@
   EXPECT_EQ(windows_.limit(leaf_), 3);
 }
 
-TEST_F(LeafWindowsTest, SheddingLeafIsLeftAloneAsLongAsItAsks) {
+TEST_F(LeafWindowsTest, SheddingLeafIsAvoidedUntilRetryAfter) {
   Exchange(LeafOutcome::kShed, 0);
   EXPECT_FALSE(windows_.has_room(leaf_));
   time_->Advance(Milliseconds(39));
--- a/tests/routing/peer_health_test.cc
+++ b/tests/routing/peer_health_test.cc
@@ -14,7 +14,7 @@
   PeerHealth health_{base::Clock(time_)};
 };
 
-TEST_F(PeerHealthTest, OneFailureIsEnoughForASecond) {
+TEST_F(PeerHealthTest, AFailureAvoidsThePeerForASecond) {
   EXPECT_FALSE(health_.is_avoided("a"));
   EXPECT_EQ(health_.DidFail("a"), Milliseconds(1'000));
   EXPECT_TRUE(health_.is_avoided("a"));
@@ -23,13 +23,13 @@
   EXPECT_FALSE(health_.is_avoided("a"));
 }
 
-TEST_F(PeerHealthTest, FurtherFailuresLastLongerUpToABound) {
+TEST_F(PeerHealthTest, FurtherFailuresDoubleTheTimeUpToABound) {
   for (const std::int64_t seconds : {1, 2, 4, 8, 8}) {
     EXPECT_EQ(health_.DidFail("a"), Milliseconds(seconds * 1'000));
   }
 }
 
-TEST_F(PeerHealthTest, AnAnswerEndsIt) {
+TEST_F(PeerHealthTest, AnAnswerEndsTheAvoidance) {
   (void)health_.DidFail("a");
   health_.DidAnswer("a");
   EXPECT_FALSE(health_.is_avoided("a"));
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -54,7 +54,7 @@
   EXPECT_EQ(Choose()->region, "north");
 }
 
-TEST_F(RouterTest, GoesRoundASlowLeafAndLooksAgain) {
+TEST_F(RouterTest, AvoidsASlowLeafAndProbesItAgain) {
   ShardLoad load;
   load.service_excess = Milliseconds(45);
   loads_->DidHear("archive", "counter", 0, "north", load, Milliseconds(1));
--- a/tests/routing/sub_query_client_test.cc
+++ b/tests/routing/sub_query_client_test.cc
@@ -77,7 +77,7 @@
   EXPECT_EQ(results_[0].second.outcome, ShardOutcome::kAnswered);
 }
 
-TEST_F(SubQueryClientTest, DropsCrossedReplies) {
+TEST_F(SubQueryClientTest, DropsMismatchedReplies) {
   const auto id = Send("vm-b");
   auto other_request = MakeReply(id);
   other_request.request_id = "r2";
