--- a/src/admission/backlog_gate.cc
+++ b/src/admission/backlog_gate.cc
@@ -1,4 +1,4 @@
-// The work ahead, and who may add to it.
+// Backlog accounting and the adaptive limit on the expected wait.
 
 #include "src/admission/backlog_gate.h"
 
@@ -9,18 +9,19 @@
 
 namespace {
 
-// Of the time to the target, what may pass in the leaves' queues by this
-// daemon's own count. The widest lets a daemon with several times its share of
-// the callers use the leaves to the full; the narrowest still uses them to the
-// full if all daemons are alike.
+// Largest permitted wait as a multiple of the time that the target leaves for
+// queueing. A daemon with several times its share of the callers can still use
+// the full capacity of the leaves with it. After reductions, the limit still
+// uses the full capacity if all daemons have equal load.
 constexpr double kWidest = 4.0;
-// Failures come in groups: the bound is narrowed once in the time that a
-// request takes.
+// Failures come in bursts, so the limit is reduced at most once per typical
+// request duration.
 constexpr double kNarrowing = 0.75;
 constexpr base::Duration kNarrowingPause = base::Milliseconds(50);
-// Some seconds from the narrowest to the widest.
+// The limit recovers fully within a few seconds.
 constexpr double kWideningPerSecond = 0.5;
-// What each rank of priority leaves to the ones before it, and at least.
+// Part of the permitted wait that each priority level leaves to the more urgent
+// ones, and the smallest part that any level keeps.
 constexpr double kLeftByRank = 0.15;
 constexpr double kLeastPart = 0.5;
 
--- a/src/admission/backlog_gate.h
+++ b/src/admission/backlog_gate.h
@@ -1,22 +1,24 @@
-// Turns requests away that could not be answered within their latency target,
-// because too much admitted work is ahead of them at the leaves.
+// Refuses requests that could not be answered within their latency target
+// because too much admitted work is queued ahead of them at the leaves.
 //
-// An overloaded leaf queues and then refuses. A request to all shards needs
-// nearly all of them, so when each refuses a few, nearly every request fails
-// after most of its work was done. Admitting only what fits the target keeps
-// the answers coming at the rate that the leaves can bear; the rest is refused
-// before anything was sent, and told when to come back.
+// An overloaded leaf first queues requests and then refuses them. A request to
+// all shards needs nearly all of them, so if each shard refuses a few requests,
+// nearly every request fails after most of its work was done. Admitting only as
+// much as can be answered in time keeps the goodput at the capacity of the
+// leaves. Other requests are refused before anything is sent, with a time after
+// which to retry.
 //
-// The work ahead is counted in leaf time: what each admitted request takes at
-// one shard, for as long as it is within its target. A request that is past it
-// waits for something else than the queue. With less urgent work a part of the
-// wait is left to more urgent classes.
+// The backlog is measured as service time at one leaf, summed over the admitted
+// requests that are still within their latency target. A request past its
+// target is waiting for something other than the queue. Less urgent requests
+// may use only a part of the permitted wait, so that more urgent classes keep
+// the rest.
 //
-// A daemon sees its own requests only, and callers reach the daemons unevenly.
-// So the bound is wide until requests fail because leaves refused them; each
-// such failure narrows it, and it widens again with time.
+// A daemon sees only its own requests, and callers are spread unevenly over the
+// daemons. The limit is therefore generous until requests fail because leaves
+// refused them. Each such failure reduces the limit, which recovers over time.
 //
-// Pure decision code; calls come from one sequence.
+// Pure decision code; used on one sequence.
 
 #ifndef MEDLARSPREAD_ADMISSION_BACKLOG_GATE_H_
 #define MEDLARSPREAD_ADMISSION_BACKLOG_GATE_H_
@@ -28,11 +30,11 @@
 
 namespace medlarspread::admission {
 
-// One request, as the gate sees it.
+// Expected cost and urgency of one request.
 struct ExpectedWork {
-  // What it takes at one leaf when nothing is ahead of it; zero if not known.
+  // Service time at one leaf without queueing; zero if not known.
   base::Duration at_leaf{};
-  // How long it may take in all, to be answered within its target.
+  // Total time in which the request must be answered to meet its target.
   base::Duration time_to_target{};
   // 0 is the most urgent.
   int priority = 0;
@@ -42,22 +44,22 @@
  public:
   BacklogGate();
 
-  // How long a request that arrived now would wait at leaves that work on
-  // `slots` requests of this daemon at once.
+  // How long a request that arrives now would wait at leaves that serve `slots`
+  // requests of this daemon concurrently.
   base::Duration WaitAt(double slots, base::MonotonicTime now);
-  // Whether the request would be answered within its target. Work that is not
-  // known is let in.
+  // Whether the request is expected to be answered within its target. Requests
+  // with an unknown service time are admitted.
   bool MayEnter(const ExpectedWork& work,
                 double slots,
                 base::MonotonicTime now);
 
-  // A request has failed because leaves refused it. That is for want of room
-  // only if there is much ahead at the leaves: some refuse for other reasons.
+  // A request has failed because leaves refused it. This counts as overload
+  // only if the backlog is large, since leaves may refuse for other reasons.
   void DidOverload(const ExpectedWork& work,
                    double slots,
                    base::MonotonicTime now);
 
-  // Counts the request as ahead of later ones.
+  // Adds an admitted request to the backlog.
   void DidEnter(std::uint64_t id,
                 const ExpectedWork& work,
                 base::MonotonicTime now);
@@ -69,16 +71,17 @@
     base::Duration at_leaf;
   };
 
-  // How long the request may wait at the leaves.
+  // Longest expected wait at the leaves with which the request is admitted.
   base::Duration BoundOf(const ExpectedWork& work) const;
   void DropPast(base::MonotonicTime now);
   void Widen(base::MonotonicTime now);
 
-  // The admitted requests that are within their targets, by identifier.
+  // Admitted requests that are within their targets, by identifier.
   std::map<std::uint64_t, Row> rows_;
   // Invariant: the sum of `at_leaf` over all rows.
   base::Duration ahead_{};
-  // Of the time to the target, what may pass in the leaves' queues.
+  // Permitted wait in the leaves' queues as a multiple of the time that the
+  // target leaves for it.
   double wait_part_;
   base::MonotonicTime widened_;
   base::MonotonicTime narrowed_;
--- a/src/admission/entry_gate.cc
+++ b/src/admission/entry_gate.cc
@@ -1,6 +1,6 @@
-// A class admits less and less while its expected wait grows from the lower to
-// the upper bound. A sharp bound would admit and refuse in bursts, because the
-// wait that the gate sees is a little old.
+// The admitted share of a class falls linearly while its expected wait grows
+// from the lower to the upper bound. A single threshold would admit and refuse
+// in bursts, because the reported wait is slightly outdated.
 
 #include "src/admission/entry_gate.h"
 
@@ -9,9 +9,9 @@
 namespace medlarspread::admission {
 namespace {
 
-// All requests of a class are admitted while the expected wait is below the
-// lower share of its latency target, none above the upper share: the rest of
-// the target is needed for the work itself.
+// As shares of the latency target of a class: all requests are admitted while
+// the expected wait is below the first, and none above the second. The rest of
+// the target is needed for the service time.
 constexpr double kLower = 0.5;
 constexpr double kUpper = 0.9;
 constexpr base::Duration kShortestRetryAfter = base::Milliseconds(50);
--- a/src/admission/entry_gate.h
+++ b/src/admission/entry_gate.h
@@ -1,9 +1,9 @@
-// Decides at the entry whether a request is taken in or refused at once. A
-// request is refused when it would wait too long in the queues to meet its
-// latency target or its deadline. The queues let classes with little slack go
-// first, so under load the wait grows first for the classes with most slack,
-// and those are refused first. A refused request is answered at once and told
-// when to come back.
+// Decides on the arrival of a request from a caller whether it is admitted or
+// refused immediately. A request is refused if it would wait too long in the
+// queues to meet its latency target or its deadline. The queues serve classes
+// with little slack first, so under load the wait grows first for the classes
+// with most slack, and those are refused first. The refusal tells the caller
+// when to retry.
 
 #ifndef MEDLARSPREAD_ADMISSION_ENTRY_GATE_H_
 #define MEDLARSPREAD_ADMISSION_ENTRY_GATE_H_
@@ -19,25 +19,25 @@
 
 struct Decision {
   bool is_admitted = true;
-  // When refused: how long the caller should wait before it asks again.
+  // If refused: how long the caller should wait before a retry.
   base::Duration retry_after{};
 };
 
 // Safe to use from any thread.
 class EntryGate {
  public:
-  // `expected_wait` is that of a request of this class in the slowest queue it
-  // needs.
+  // `expected_wait` is the longest expected wait for this class among the
+  // queues that the request needs.
   Decision Admit(const blackboard::ClassTargets& targets,
                  base::Duration expected_wait,
                  base::Duration deadline_left);
 
  private:
-  // Admits `share` of the calls for `class_name`, spread evenly.
+  // Returns true for `share` of the calls for `class_name`, spread evenly.
   bool TakeTurn(const std::string& class_name, double share);
 
   std::mutex mutex_;
-  // Per class the part of an admission that is owed. Invariant: in [0, 1).
+  // Accumulated fraction of an admission per class. Invariant: in [0, 1).
   std::map<std::string, double> owed_;
 };
 
--- a/src/admission/extra_send_budget.cc
+++ b/src/admission/extra_send_budget.cc
@@ -1,4 +1,4 @@
-// What requests earned, the slack, and how the bound is shared out.
+// Earned budget, slack bucket, and the division of the bound among daemons.
 
 #include "src/admission/extra_send_budget.h"
 
@@ -9,22 +9,25 @@
 
 namespace {
 
-// What is earned is lost after a quarter of the window. Any window then sees no
-// more than what the requests of five quarters earned, so four fifths of the
-// share may be planned with.
+// Earned sends expire after a quarter of the window. The sends in any window
+// are then earned by the requests of at most five quarters, so four fifths of
+// the share can be granted.
 constexpr double kPlannedShare = 0.8;
 constexpr int kWindowPart = 4;
-// Of the slack: what may be saved up, and what comes back in any window. Their
-// sum leaves 0.2 for daemons that count one another differently.
+// Parts of the slack: the bucket capacity, and the refill in any window. Their
+// sum leaves 0.2 as a margin for daemons with different views of the number of
+// daemons.
 constexpr double kSavedSlack = 0.4;
 constexpr double kReturnedSlack = 0.4;
-// Of a full bucket, what a daemon starts with.
+// Initial fill of the bucket as a part of its capacity.
 constexpr double kFirstPart = 0.15;
-// The time is kept in so many cells. A request counts for one cell less than
-// the time and a send for one cell more, so that nothing is spent twice.
+// Number of cells that `earned_for` is divided into. A request counts for one
+// cell less than that time and a send for one cell more, so that nothing is
+// spent twice.
 constexpr std::int64_t kCells = 10;
-// What the aggregators together get; the rest is for entries whose aggregators
-// fail, each of which can use one connection and one extra send at least.
+// The part of all aggregators together. The rest is for the other daemons in
+// case their aggregators fail; each of them can use at least one connection and
+// one extra send.
 constexpr double kAggregatorsPart = 0.6;
 
 double SecondsOf(base::Duration duration) {
@@ -56,7 +59,7 @@
 
 void ExtraSendBudget::set_limits(const ExtraSendLimits& limits) {
   if (limits.earned_for != limits_.earned_for) {
-    // The cells are parts of that time.
+    // The length of a cell depends on `earned_for`.
     cells_.clear();
   }
   limits_ = limits;
@@ -106,7 +109,7 @@
 
 ExtraSendLimits PlanExtraSends(const ExtraSendBound& bound, double part) {
   const double slack = bound.slack * part;
-  // A bucket that never holds a whole send would never give one out.
+  // A bucket with a capacity below one send would never permit any.
   return {kPlannedShare * bound.share, bound.window / kWindowPart,
           std::max(1.0, kSavedSlack * slack),
           kReturnedSlack * slack / SecondsOf(bound.window)};
--- a/src/admission/leaf_window.cc
+++ b/src/admission/leaf_window.cc
@@ -1,5 +1,6 @@
-// The adaptive limit: multiplicative decrease, additive increase, and a floor
-// learned from medians so that a few stragglers don't move it.
+// The adaptive limit: additive increase, multiplicative decrease, and a
+// baseline of the service time from medians, so that a few stragglers don't
+// affect it.
 
 #include "src/admission/leaf_window.h"
 
@@ -9,17 +10,18 @@
 namespace medlarspread::admission {
 namespace {
 
-// The lowest limit: one request, then a pause three times as long.
+// The lowest limit: one request, followed by a pause of three times its
+// duration.
 constexpr double kLowestLimit = 0.25;
-// Growth per answer, relative to the limit: one more after `limit` / 0.1
-// answers.
+// Increase per answer, divided by the limit: the limit grows by one after
+// `limit` / 0.1 answers.
 constexpr double kGrowth = 0.1;
 constexpr std::size_t kBatch = 64;
 constexpr std::size_t kBatches = 8;
-// Requests wait inside the leaf when the typical one takes this many times the
-// lowest of the earlier medians.
+// Requests are considered to queue inside the leaf if their median time exceeds
+// the lowest of the earlier medians by this factor.
 constexpr double kExcess = 2.0;
-// How long nothing is sent after a shed reply that names no time.
+// Minimum pause after a shed reply.
 constexpr base::Duration kShedPause = base::Milliseconds(5);
 
 }  // namespace
@@ -73,7 +75,7 @@
 
 void LeafWindow::DidShed(base::MonotonicTime now) {
   not_before_ = std::max(not_before_, now + kShedPause);
-  // Several requests of one burst are shed together; that is one event.
+  // Requests that are shed in one burst count as one event.
   if (now - last_halved_ < std::max(typical_, kShedPause)) {
     return;
   }
@@ -104,8 +106,9 @@
       limit_ = std::max(1.0, limit_ - 1);
     }
   }
-  // NOTE: a leaf that stays slow raises the floor once the older medians have
-  // left, so that a lasting change of the work is not taken for waiting.
+  // NOTE: a leaf that stays slow raises the baseline once the older medians
+  // have been dropped, so that a lasting change of the service time is not
+  // taken for queueing.
   medians_.push_back(median);
   if (medians_.size() > kBatches) {
     medians_.pop_front();
--- a/src/admission/leaf_window.h
+++ b/src/admission/leaf_window.h
@@ -1,9 +1,9 @@
-// How many requests one daemon may have in flight at one leaf. The limit adapts
-// to what the leaf's replies say: it is halved when the leaf sheds, reduced
-// when requests take much longer than they used to (another daemon sends as
-// well, and the requests wait inside the leaf), and grown back slowly.
+// Adaptive limit on the requests that one daemon has in flight at one leaf. The
+// limit is halved when the leaf sheds a request, reduced when requests take
+// much longer than before (because other daemons also send and requests queue
+// inside the leaf), and increased slowly with each answer.
 //
-// Pure decision code: the owner passes the time in and calls from one sequence.
+// Pure decision code: the caller passes the time; used on one sequence.
 
 #ifndef MEDLARSPREAD_ADMISSION_LEAF_WINDOW_H_
 #define MEDLARSPREAD_ADMISSION_LEAF_WINDOW_H_
@@ -18,28 +18,28 @@
 
 class LeafWindow {
  public:
-  // A leaf that takes `places` requests at once from this daemon and accepts
-  // `connections` connections from all daemons together. Both must be at least
-  // 1.
+  // `places` is the number of requests that the leaf takes from this daemon
+  // concurrently, `connections` the number of connections that it accepts from
+  // all daemons together. Both must be at least 1.
   LeafWindow(int places, int connections);
 
-  // Takes a place if there is one. The first form looks at the limit alone; the
-  // second also honours the pause that a shed reply or a cold start asks for.
+  // Takes a slot if one is free. The first overload checks only the limit; the
+  // second also respects a pause after a shed reply or a cold start.
   bool TryAcquire();
   bool TryAcquire(base::MonotonicTime now);
-  // Gives a place back, whatever became of the request.
+  // Returns a slot, whatever the outcome of the request.
   void Release();
 
-  // What a reply told. `service_time` is the time from the send to the reply.
-  // It is ignored for a shed reply.
+  // Adapts the limit to a reply. `service_time` is the time from the send to
+  // the reply; it is ignored for a shed reply.
   void DidReply(base::Duration service_time,
                 bool is_shed,
                 base::MonotonicTime now);
-  // Sends nothing before `now + retry_after`, as the leaf asked.
+  // Pauses sends until `now + retry_after`, as the leaf requested.
   void DidAskToWait(base::Duration retry_after, base::MonotonicTime now);
 
-  // The leaf has been cold since `since`: it gets one request at a time with
-  // pauses between them, and its limit grows from there.
+  // The leaf has had a cold start at `since`: it first gets one request at a
+  // time with pauses in between, and its limit grows from there (slow start).
   void set_cold_since(base::MonotonicTime since);
 
   int limit() const;
@@ -48,13 +48,14 @@
   bool has_room(base::MonotonicTime now) const {
     return has_room() && not_before_ <= now;
   }
-  // Nothing may be sent before this time; the owner wakes up then.
+  // Nothing may be sent before this time; the caller should retry then.
   base::MonotonicTime not_before() const { return not_before_; }
 
  private:
   void DidShed(base::MonotonicTime now);
   void Learn(base::Duration service_time);
-  // Compares the batch of service times just completed with earlier batches.
+  // Compares the median of the completed batch of service times with those of
+  // earlier batches.
   void CompareWithFloor();
   void Grow(base::Duration service_time, base::MonotonicTime now);
 
@@ -65,9 +66,9 @@
   // Invariant: 0 <= in_flight_. It may exceed limit_ after a reduction.
   int in_flight_ = 0;
   base::MonotonicTime not_before_;
-  // The limit is halved at most once for the requests of one round trip.
+  // When the limit was last halved; at most once per round trip.
   base::MonotonicTime last_halved_;
-  // The typical time of an answer, 0 before the first.
+  // Running mean of the service time; 0 before the first answer.
   base::Duration typical_{};
   // Service times since the last comparison; at most kBatch of them.
   std::vector<base::Duration> batch_;
--- a/src/admission/queue_item.h
+++ b/src/admission/queue_item.h
@@ -1,4 +1,4 @@
-// One shard request that waits for a slot of a leaf.
+// A shard request that waits for a slot at a leaf.
 
 #ifndef MEDLARSPREAD_ADMISSION_QUEUE_ITEM_H_
 #define MEDLARSPREAD_ADMISSION_QUEUE_ITEM_H_
@@ -14,11 +14,11 @@
   // Unique within one queue.
   std::uint64_t id = 0;
   std::string class_name;
-  // When the latency target of its class is missed.
+  // When the latency target of its class passes.
   base::MonotonicTime target_due;
-  // When the caller no longer waits.
+  // When the caller stops waiting.
   base::MonotonicTime deadline;
-  // A second send: the caller already waits for a straggler.
+  // Whether this is a second send, made because the first replica is late.
   bool is_hedge = false;
 };
 
--- a/src/admission/retry_budget.cc
+++ b/src/admission/retry_budget.cc
@@ -1,4 +1,5 @@
-// A token bucket that successes fill, and backoff with jitter.
+// Token bucket that is refilled by successes, and exponential backoff with
+// jitter.
 
 #include "src/admission/retry_budget.h"
 
@@ -34,7 +35,7 @@
   assert(attempt >= 1);
   const int doublings = std::min(attempt - 1, kMaximumDoublings);
   const base::Duration longest = kFirstBackoff * (1 << doublings);
-  // Half is fixed so that a retry never follows at once.
+  // Half of the delay is fixed, so that a retry never follows immediately.
   const double jitter = random.Unit() * static_cast<double>(longest.count());
   return longest / 2 + base::Duration(static_cast<std::int64_t>(jitter / 2));
 }
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -1,7 +1,8 @@
-// How many retries are paid for, so that they can't keep an overload going: a
-// share of the successes, saved up to a bound. One budget serves one class.
+// Token bucket that limits retries to a share of the successes, so that retries
+// can't sustain an overload. Each dispatcher and each request class has its
+// own.
 //
-// Pure decision code; calls come from one sequence.
+// Pure decision code; used on one sequence.
 
 #ifndef MEDLARSPREAD_ADMISSION_RETRY_BUDGET_H_
 #define MEDLARSPREAD_ADMISSION_RETRY_BUDGET_H_
@@ -15,16 +16,17 @@
  public:
   static constexpr double kDefaultShare = 0.1;
 
-  // A quiet class can retry a few times; a blackout uses this up at once and
-  // from then on only successes pay.
+  // Bucket capacity: permits a few retries at low traffic. A total outage uses
+  // it up immediately, and from then on only successes refill it.
   static constexpr double kDefaultTokens = 10.0;
 
   explicit RetryBudget(double share = kDefaultShare,
                        double most_tokens = kDefaultTokens);
 
-  // Takes one retry if the budget lasts.
+  // Takes one retry from the budget; false if it is used up.
   bool Take();
-  // A first try or a retry succeeded: it earns its share.
+  // A first attempt or a retry succeeded, which refills the budget by its
+  // share.
   void DidSucceed();
 
  private:
@@ -34,8 +36,8 @@
   double tokens_;
 };
 
-// How long to wait before try number `attempt` (1 is the first retry): doubles
-// with each, up to a bound, with jitter so that retries don't come together.
+// Delay before retry number `attempt`, counted from 1: doubles with each retry
+// up to a bound, with jitter so that retries don't synchronize.
 base::Duration Backoff(int attempt, base::Random& random);
 
 }  // namespace medlarspread::admission
--- a/src/admission/second_send_policy.cc
+++ b/src/admission/second_send_policy.cc
@@ -1,6 +1,6 @@
 // The delay is a multiple of the typical service time, which is the mean
 // without the slowest answers: stragglers must not raise the delay that is
-// meant to catch them.
+// meant to detect them.
 
 #include "src/admission/second_send_policy.h"
 
@@ -12,23 +12,23 @@
 namespace {
 
 constexpr std::size_t kSamples = 512;
-// Replies that must have been seen before a delay is given.
+// Replies required before a delay is available.
 constexpr std::size_t kFirstSamples = 32;
-// The delay is learned anew after so many replies.
+// The delay is updated after this many replies.
 constexpr std::size_t kRelearn = 32;
-// Share of the slowest samples that is left out.
+// Share of the slowest samples that is ignored.
 constexpr double kTrimmed = 0.05;
-// The multiple is adjusted after so many first sends: it grows while more than
-// the higher of these parts of the budget is spent, so that the budget never
-// runs out on requests that are not the slowest, and falls while less than the
-// lower part is spent.
+// The multiple is adjusted after kAdjustAfter first sends. It grows while more
+// than the higher part of the budget is spent, so that the budget isn't used up
+// by requests that are not the slowest, and falls while less than the lower
+// part is spent.
 constexpr double kAdjustAfter = 500.0;
 constexpr double kHighestSpending = 0.85;
 constexpr double kLowestSpending = 0.65;
 constexpr double kHighestMultiple = 16.0;
 constexpr double kMultipleGrowth = 1.05;
 constexpr base::Duration kLowestDelay = base::Milliseconds(1);
-// Bounds a burst of second sends after a quiet time.
+// Bounds a burst of second sends after a time with few of them.
 constexpr double kMaximumTokens = 20.0;
 
 }  // namespace
--- a/src/admission/second_send_policy.h
+++ b/src/admission/second_send_policy.h
@@ -1,8 +1,9 @@
-// When a shard request is sent to a second replica, and whether the budget for
-// that lasts. One policy serves one collection: how long a leaf takes depends
-// on the collection, not on the class that asks.
+// Decides when a shard request is sent to a second replica (a hedged request)
+// and limits the share of such second sends. A dispatcher has one policy for
+// its collection, because the service time there depends on the collection, not
+// on the class of the request.
 //
-// Pure decision code; calls come from one sequence.
+// Pure decision code; used on one sequence.
 
 #ifndef MEDLARSPREAD_ADMISSION_SECOND_SEND_POLICY_H_
 #define MEDLARSPREAD_ADMISSION_SECOND_SEND_POLICY_H_
@@ -17,28 +18,28 @@
 
 class SecondSendPolicy {
  public:
-  // Second sends are paid for from a share of the first sends.
+  // Second sends as a share of first sends.
   static constexpr double kDefaultShare = 0.03;
-  // The share that no setting exceeds.
+  // Upper bound on the share, whatever the settings.
   static constexpr double kMaximumShare = 0.05;
 
-  // The delay as a multiple of the typical service time, at the least.
+  // Lower bound on the delay as a multiple of the typical service time.
   static constexpr double kDefaultMultiple = 2.5;
 
   explicit SecondSendPolicy(double share = kDefaultShare,
                             double lowest_multiple = kDefaultMultiple);
 
-  // How long after the send to the leaf a second replica is asked; nothing
-  // until enough replies have been seen.
+  // How long after the first send the second send is made; nothing until enough
+  // replies have been measured.
   std::optional<base::Duration> Delay() const { return delay_; }
 
-  // Takes one second send from the budget if it lasts.
+  // Takes one second send from the budget; false if it is used up.
   bool TakeBudget();
-  // Gives back what TakeBudget() took, when the send was not made after all.
+  // Undoes TakeBudget() if the send was not made after all.
   void ReturnBudget();
-  // A first send was made: it earns its share.
+  // A first send was made, which refills the budget by its share.
   void DidFirstSend();
-  // An answer came `service_time` after the send.
+  // An answer arrived `service_time` after the send.
   void DidReply(base::Duration service_time);
 
  private:
@@ -52,11 +53,11 @@
   // The delay as a multiple of the typical service time. Invariant: at least
   // lowest_multiple_.
   double multiple_;
-  // Since the multiple was last adjusted.
+  // Counts since the last adjustment of the multiple.
   double taken_ = 0.0;
   double first_sends_ = 0.0;
   std::optional<base::Duration> delay_;
-  // The latest service times, a ring of at most kSamples.
+  // The latest service times: a ring buffer of at most kSamples.
   std::vector<base::Duration> samples_;
   std::size_t next_ = 0;
   std::size_t replies_ = 0;
--- a/src/admission/urgency_queue.cc
+++ b/src/admission/urgency_queue.cc
@@ -1,5 +1,5 @@
-// One ordered line per class, merged when an item is taken, because the burn of
-// a class changes while its items wait.
+// Keeps one ordered line per class and merges the lines when an item is taken,
+// because the error budget burn of a class changes while its items wait.
 
 #include "src/admission/urgency_queue.h"
 
@@ -11,19 +11,20 @@
 
 // The slack of a class as a multiple of its latency target.
 constexpr double kSlackMultiple = 1.0;
-// Burn takes away at most this share of the slack. More would let a class with
-// a loose target, once it gives way and burns, overtake those it gave way to.
+// Error budget burn takes away at most this share of the slack. With more, a
+// class with a loose target that burns its budget while it yields to other
+// classes would overtake them.
 constexpr double kMaximumBurnShare = 0.5;
-// The excess of burn over 1 that takes half of that share.
+// The burn in excess of 1 that takes away half of that share.
 constexpr double kHalfBurn = 2.0;
-// Slots that are remembered to learn the share of each class, and the lowest
-// share that is assumed.
+// Number of recent slots from which the share of each class is estimated, and
+// the lowest share that is assumed.
 constexpr double kRememberedPops = 200.0;
 constexpr double kLowestShare = 0.01;
-// Puts the lines of two classes apart whatever the age of their items.
+// Separates the lines of two classes whatever the age of their items.
 constexpr double kStrictMultiple = 1e4;
 
-// The part of the slack that burn leaves, 0 to 1.
+// The part of the slack that is left by the class's burn, from 0 to 1.
 double SlackLeft(const blackboard::BurnView& burn,
                  const std::string& class_name) {
   const auto row = burn.classes.find(class_name);
--- a/src/admission/urgency_queue.h
+++ b/src/admission/urgency_queue.h
@@ -1,13 +1,14 @@
-// The order in which shard requests of one bundle of leaves get a free slot.
+// Priority queue of the shard requests that wait for a slot at the leaves of
+// one shard.
 //
-// 1. Second sends come first: each stands for a request that already waits for
-//    a straggler, and their number is bounded by a budget.
+// 1. Second sends come first: their requests already wait for a late replica,
+//    and their number is bounded by a budget.
 // 2. Then requests that can still meet the latency target of their class, in
-//    the order that UrgencyOrder names.
-// 3. Last come requests whose target has passed: they can't save the target and
-//    must not make others miss theirs.
+//    the order given by UrgencyOrder.
+// 3. Requests whose target has passed come last: they can't meet it any more
+//    and must not make others miss theirs.
 //
-// Pure decision code: the time is passed in; calls come from one sequence.
+// Pure decision code: the time is passed in; used on one sequence.
 
 #ifndef MEDLARSPREAD_ADMISSION_URGENCY_QUEUE_H_
 #define MEDLARSPREAD_ADMISSION_URGENCY_QUEUE_H_
@@ -30,18 +31,18 @@
 
 namespace medlarspread::admission {
 
-// How requests that can still meet their target are ordered. All orders come
-// from the stated targets alone; the first three are baselines.
+// Order of the requests that can still meet their target. All orders depend
+// only on the configured targets; the first three are baselines for benchmarks.
 enum class UrgencyOrder {
-  // First come, first served; late ones are not put back.
+  // First come, first served; late requests are not moved to the end.
   kArrival,
-  // The earliest target due time first.
+  // Earliest target due time first.
   kTargetDue,
-  // The class with the lowest latency target first, whatever its items' age.
+  // Class with the lowest latency target first, whatever the age of its items.
   kTightestClass,
-  // The target due time plus the slack of the class, a multiple of its latency
-  // target, less what the burn of the class takes away: the class whose promise
-  // has most slack gives way.
+  // Earliest target due time plus slack of the class first. The slack is a
+  // multiple of the latency target, reduced by the class's error budget burn,
+  // so the classes with most slack wait longest.
   kClassSlack,
 };
 
@@ -71,18 +72,18 @@
   std::vector<std::uint64_t> TakeExpired(base::MonotonicTime now);
   std::size_t size() const { return items_.size(); }
 
-  // How long `item`, whose identifier is that of a newcomer, would wait if it
-  // were pushed now and the leaves completed `completions_per_second`, which
-  // must be positive. Takes into account what is ahead now and how many of the
-  // latest slots went to the item's class, because others may still overtake
-  // it.
+  // How long `item` would wait if it were pushed now and the leaves completed
+  // `completions_per_second`, which must be positive. The identifier of `item`
+  // must not be in the queue. The estimate is based on the items ahead and on
+  // the share of recent slots that went to the item's class, because items of
+  // other classes may still overtake it.
   base::Duration ExpectedWait(const QueueItem& item,
                               double completions_per_second) const;
 
  private:
-  // By due time (by place of arrival under kArrival), then by identifier.
+  // By due time (by order of arrival under kArrival), then by identifier.
   using Line = std::set<std::pair<base::MonotonicTime, std::uint64_t>>;
-  // A place in one line while Pop() merges the lines.
+  // A position in one line while Pop() merges the lines.
   struct Cursor {
     const Line* line;
     Line::const_iterator position;
@@ -95,14 +96,14 @@
                                            const Predicate& predicate) const;
   std::vector<Cursor> LinesInTime(base::MonotonicTime now) const;
   std::vector<Cursor> LinesLate(base::MonotonicTime now) const;
-  // The place before which an item of a line counts as late.
+  // Items that are sorted before this key count as late.
   base::MonotonicTime LateBound(base::MonotonicTime now) const;
-  // Where an item stands in its line.
+  // The key by which an item is sorted in its line.
   base::MonotonicTime PlaceOf(const QueueItem& item) const;
   std::size_t CountAhead(const QueueItem& item) const;
-  // Remembers which class a slot went to.
+  // Records which class a slot went to.
   void DidPop(const std::string& class_name);
-  // What is added to the due times of a class when lines are merged.
+  // Added to the due times of a class when the lines are merged.
   base::Duration OffsetOf(const std::string& class_name) const;
 
   const blackboard::Blackboard& blackboard_;
@@ -113,8 +114,8 @@
   Line hedges_;
   std::map<std::string, Line> lines_;
   Line deadlines_;
-  // How many of the latest slots went to each class. Invariant: pops_ is their
-  // sum and at most kRememberedPops.
+  // Decaying count of the recent slots that went to each class. Invariant:
+  // pops_ is their sum and at most kRememberedPops.
   std::map<std::string, double> pops_by_class_;
   double pops_ = 0.0;
 };
--- a/tests/admission/backlog_gate_test.cc
+++ b/tests/admission/backlog_gate_test.cc
@@ -1,4 +1,4 @@
-// Which requests are let in, and what goodput follows from it.
+// Tests which requests are admitted, and the resulting goodput under overload.
 
 #include "src/admission/backlog_gate.h"
 
@@ -17,7 +17,7 @@
 constexpr ExpectedWork kUrgent{Milliseconds(8), Milliseconds(84), 0};
 constexpr ExpectedWork kLater{Milliseconds(8), Milliseconds(84), 2};
 
-// How many requests of one kind are let in at once.
+// How many requests of one kind are admitted at the same time.
 int CountEntering(const ExpectedWork& work, double slots) {
   BacklogGate gate;
   constexpr int kMost = 1'000;
@@ -77,7 +77,7 @@
   EXPECT_TRUE(gate.MayEnter(kUrgent, 1.0, later));
 }
 
-// Lets requests in until one is turned away; returns how many entered.
+// Admits requests until one is refused; returns the number admitted.
 int Fill(BacklogGate& gate, MonotonicTime now) {
   int entered = 0;
   for (; gate.MayEnter(kUrgent, 1.0, now); ++entered) {
@@ -125,9 +125,9 @@
   EXPECT_EQ(Fill(gate, now), Fill(fresh, now));
 }
 
-// A leaf of one slot with a short queue that refuses beyond it, under a steady
-// load, in steps of a millisecond. Returns the requests answered within their
-// target in ten seconds.
+// Simulates ten shards, each a leaf with one slot and a short queue that
+// refuses requests when full, under a steady load in steps of a millisecond.
+// Returns the number of requests answered in time within ten seconds.
 int GoodputAt(double load, bool has_gate) {
   constexpr int kSteps = 10'000;
   constexpr int kWork = 8;
@@ -155,7 +155,7 @@
       gate.DidEnter(id, kUrgent, now);
       requests.push_back({step, 0, 0, id});
       for (int shard = 0; shard < kShards; ++shard) {
-        // Shards do not refuse the same requests: each has its own moment.
+        // Varies the queue limit, so that shards refuse different requests.
         const bool is_full = queues[shard].size() + (id + shard) % 3 >= kQueue;
         if (is_full) {
           ++requests.back().refused;
--- a/tests/admission/budgets_test.cc
+++ b/tests/admission/budgets_test.cc
@@ -1,4 +1,4 @@
-// The budgets of second sends and retries hold, whatever is asked of them.
+// Tests that the budgets of second sends and retries are never exceeded.
 
 #include <gtest/gtest.h>
 
@@ -54,8 +54,8 @@
   EXPECT_GE(taken, kSends * SecondSendPolicy::kMaximumShare - 1);
 }
 
-// Half of all requests ask for a second send: the delay grows until the budget
-// would last, and falls back once few ask.
+// If half of all requests need a second send, the delay grows until the budget
+// is sufficient; it falls again once few requests need one.
 TEST(SecondSendPolicyTest, WaitsLongerWhileTheBudgetRunsOut) {
   SecondSendPolicy policy(kShare, kMultiple);
   const auto work = [&policy](int requests, int ask_every) {
--- a/tests/admission/entry_gate_test.cc
+++ b/tests/admission/entry_gate_test.cc
@@ -1,4 +1,5 @@
-// Who is refused first, and that a refusal says when to come back.
+// Tests which requests are refused first, and that a refusal tells when to
+// retry.
 
 #include "src/admission/entry_gate.h"
 
@@ -18,7 +19,7 @@
         {.revision = 1, .classes = {{"desk", desk_}, {"audit", audit_}}});
   }
 
-  // Of 100 requests with this wait, how many are admitted.
+  // How many of 100 requests with this wait are admitted.
   int Admitted(const blackboard::ClassTargets& targets, std::int64_t wait_ms) {
     int admitted = 0;
     for (int i = 0; i < 100; ++i) {
@@ -49,7 +50,8 @@
   EXPECT_EQ(Admitted(audit_, 90), 100);
 }
 
-// Many requests of the class with more slack wait: only it is refused.
+// If many requests of the class with more slack wait, only that class is
+// refused.
 TEST_F(EntryGateTest, ClassWithMostSlackIsRefusedFirst) {
   constexpr double kCompletionsPerSecond = 1000.0;
   const base::MonotonicTime now{1'000'000};
--- a/tests/admission/extra_send_budget_test.cc
+++ b/tests/admission/extra_send_budget_test.cc
@@ -1,4 +1,4 @@
-// The budget of one daemon, and what all of them together send.
+// Tests the budget of one daemon and the total sends of all daemons.
 
 #include "src/admission/extra_send_budget.h"
 
@@ -72,7 +72,7 @@
     budget.DidRequest({});
   }
   EXPECT_EQ(TakeAll(budget, {}), 100);
-  // The requests count for a little less than that time, the sends for more.
+  // Requests count for slightly less than that time, sends for slightly more.
   const MonotonicTime later = MonotonicTime{} + Milliseconds(10'000);
   for (int request = 0; request < 400; ++request) {
     budget.DidRequest(later);
@@ -103,10 +103,10 @@
   EXPECT_GT(aggregator, 10 * entry);
 }
 
-// Many daemons that send whenever they may and restart at random.
+// Simulates many daemons that send whenever permitted and restart at random.
 class FleetBudgetTest : public testing::TestWithParam<std::uint64_t> {
  protected:
-  // What the leaves saw in one step, from all daemons.
+  // What the leaves received from all daemons in one step.
   struct Seen {
     int requests = 0;
     int extra = 0;
@@ -117,8 +117,8 @@
   static constexpr base::Duration kStep = Milliseconds(10);
   static constexpr ExtraSendBound kBound{0.2, 58.0, Milliseconds(10'000)};
 
-  // Plays so many steps; each daemon gets a request with the probability
-  // `rate` gives for the step.
+  // Runs the simulation; in each step every daemon gets a request with the
+  // probability that `rate` returns for the step.
   std::vector<Seen> Play(int steps, const std::function<double()>& rate) {
     const ExtraSendLimits limits =
         PlanExtraSends(kBound, PartOf({.daemons = kDaemons}));
@@ -129,7 +129,7 @@
     for (int step = 0; step < steps; ++step) {
       now = now + kStep;
       if (random_.Below(2'000) == 0) {
-        // All restart at once.
+        // All daemons restart at the same time.
         daemons.assign(kDaemons, ExtraSendBudget(limits, now));
       }
       Seen seen;
@@ -147,7 +147,7 @@
     return all;
   }
 
-  // Requests and extra sends of the window that begins at `first`.
+  // Requests and extra sends in the window that begins at `first`.
   static Seen Window(const std::vector<Seen>& all, int first) {
     Seen sum;
     const int end =
@@ -162,7 +162,8 @@
   base::Random random_{GetParam()};
 };
 
-// Where the traffic is steady, no window sees more than its own requests allow.
+// With steady traffic, no window has more extra sends than its own requests
+// permit.
 TEST_P(FleetBudgetTest, NoWindowExceedsTheBoundOfItsOwnRequests) {
   const double rate = random_.Unit();
   const std::vector<Seen> all = Play(6'000, [rate] { return rate; });
@@ -173,9 +174,10 @@
   }
 }
 
-// The leaves' operators count the requests of the window, of the one before it
-// or of the one half a window before it, whichever saw most: a window in which
-// the traffic has just ended may repeat what came before.
+// With varying traffic the bound is based on the requests of the window itself,
+// of the previous one, or of the one half a window earlier, whichever is
+// largest: a window in which traffic has just ended may still retry earlier
+// requests.
 TEST_P(FleetBudgetTest, NoWindowExceedsTheBoundWhenTrafficComesAndGoes) {
   double rate = 0.2;
   const std::vector<Seen> all = Play(6'000, [&] {
--- a/tests/admission/leaf_window_test.cc
+++ b/tests/admission/leaf_window_test.cc
@@ -1,4 +1,4 @@
-// The limit follows what the leaf's replies say.
+// Tests that the limit adapts to the leaf's replies.
 
 #include "src/admission/leaf_window.h"
 
@@ -67,8 +67,8 @@
   }
 }
 
-// Medians of few samples differ by chance; that is no sign of waiting. With
-// batches of 16 this cost a fifth of the slots.
+// Medians of few samples vary by chance, which must not be taken for queueing.
+// Batches of 16 samples cost a fifth of the slots.
 TEST(LeafWindowTest, SpreadOfServiceTimesDoesNotReduce) {
   constexpr std::uint64_t kSeed = 11;
   std::mt19937_64 engine(kSeed);
--- a/tests/admission/urgency_queue_test.cc
+++ b/tests/admission/urgency_queue_test.cc
@@ -1,4 +1,4 @@
-// The order of the queue, its removal and its expiry.
+// Tests the order of the queue, and the removal and expiry of items.
 
 #include "src/admission/urgency_queue.h"
 
@@ -64,7 +64,7 @@
   EXPECT_EQ(Pop(), 3u);
 }
 
-// Three items, each of which another order would put first.
+// Three items; each order puts a different one first.
 TEST_F(UrgencyQueueTest, EachOrderPutsItsOwnFirst) {
   blackboard::TargetsView targets;
   targets.classes["counter"].latency = Milliseconds(100);
@@ -119,7 +119,7 @@
   EXPECT_EQ(queue_.ExpectedWait(Item(11, "site", 5), 1000.0), Milliseconds(0));
 }
 
-// Nothing is ahead of the newcomer, but its class gets one slot in ten.
+// No item is ahead of the new one, but its class gets only one slot in ten.
 TEST_F(UrgencyQueueTest, ExpectedWaitKnowsTheShareOfTheClass) {
   for (std::uint64_t id = 1; id <= 9; ++id) {
     queue_.Push(Item(id, "desk", 10));
