--- a/src/admission/backlog_gate.cc
+++ b/src/admission/backlog_gate.cc
@@ -13,87 +13,89 @@
 // queueing. A daemon with several times its share of the callers can still use
 // the full capacity of the leaves with it. After reductions, the limit still
 // uses the full capacity if all daemons have equal load.
-constexpr double kWidest = 4.0;
+constexpr double kMaxWaitFactor = 4.0;
 // Failures come in bursts, so the limit is reduced at most once per typical
 // request duration.
-constexpr double kNarrowing = 0.75;
-constexpr base::Duration kNarrowingPause = base::Milliseconds(50);
+constexpr double kDecreaseFactor = 0.75;
+constexpr base::Duration kMinDecreaseInterval = base::Milliseconds(50);
 // The limit recovers fully within a few seconds.
-constexpr double kWideningPerSecond = 0.5;
+constexpr double kIncreasePerSecond = 0.5;
 // Part of the permitted wait that each priority level leaves to the more urgent
 // ones, and the smallest part that any level keeps.
-constexpr double kLeftByRank = 0.15;
-constexpr double kLeastPart = 0.5;
+constexpr double kReservedPerPriority = 0.15;
+constexpr double kMinPriorityPart = 0.5;
 
 }  // namespace
 
-BacklogGate::BacklogGate() : wait_part_(kWidest) {}
+BacklogGate::BacklogGate() : wait_factor_(kMaxWaitFactor) {}
 
-base::Duration BacklogGate::WaitAt(double slots, base::MonotonicTime now) {
-  DropPast(now);
+base::Duration BacklogGate::ExpectedWait(double slots,
+                                         base::MonotonicTime now) {
+  DropPastTarget(now);
   return base::Duration(static_cast<std::int64_t>(
-      static_cast<double>(ahead_.count()) / std::max(slots, 0.01)));
+      static_cast<double>(backlog_.count()) / std::max(slots, 0.01)));
 }
 
-bool BacklogGate::MayEnter(const ExpectedWork& work,
+bool BacklogGate::MayAdmit(const ExpectedWork& work,
                            double slots,
                            base::MonotonicTime now) {
-  if (work.at_leaf == base::Duration{} || rows_.empty()) {
+  if (work.service_time == base::Duration{} || rows_.empty()) {
     return true;
   }
-  Widen(now);
-  return WaitAt(slots, now) <= BoundOf(work);
+  RaiseLimit(now);
+  return ExpectedWait(slots, now) <= MaxWait(work);
 }
 
-base::Duration BacklogGate::BoundOf(const ExpectedWork& work) const {
+base::Duration BacklogGate::MaxWait(const ExpectedWork& work) const {
   const double part =
-      std::max(kLeastPart, 1.0 - kLeftByRank * work.priority) * wait_part_;
+      std::max(kMinPriorityPart, 1.0 - kReservedPerPriority * work.priority) *
+      wait_factor_;
   const auto time =
-      static_cast<double>((work.time_to_target - work.at_leaf).count());
+      static_cast<double>((work.time_to_target - work.service_time).count());
   return base::Duration(static_cast<std::int64_t>(time * part));
 }
 
 void BacklogGate::DidOverload(const ExpectedWork& work,
                               double slots,
                               base::MonotonicTime now) {
-  Widen(now);
+  RaiseLimit(now);
   const bool is_loaded =
-      WaitAt(slots, now) >= work.time_to_target - work.at_leaf;
-  if (!is_loaded || now - narrowed_ < kNarrowingPause) {
+      ExpectedWait(slots, now) >= work.time_to_target - work.service_time;
+  if (!is_loaded || now - last_reduced_ < kMinDecreaseInterval) {
     return;
   }
-  narrowed_ = now;
-  wait_part_ *= kNarrowing;
+  last_reduced_ = now;
+  wait_factor_ *= kDecreaseFactor;
 }
 
-void BacklogGate::DidEnter(std::uint64_t id,
+void BacklogGate::DidAdmit(std::uint64_t id,
                            const ExpectedWork& work,
                            base::MonotonicTime now) {
-  rows_[id] = {now + work.time_to_target, work.at_leaf};
-  ahead_ += work.at_leaf;
+  rows_[id] = {now + work.time_to_target, work.service_time};
+  backlog_ += work.service_time;
 }
 
-void BacklogGate::DidLeave(std::uint64_t id) {
+void BacklogGate::DidFinish(std::uint64_t id) {
   const auto row = rows_.find(id);
   if (row != rows_.end()) {
-    ahead_ -= row->second.at_leaf;
+    backlog_ -= row->second.service_time;
     rows_.erase(row);
   }
 }
 
-void BacklogGate::Widen(base::MonotonicTime now) {
-  const std::chrono::duration<double> seconds = now - widened_;
-  wait_part_ =
-      std::min(kWidest, wait_part_ + kWideningPerSecond * seconds.count());
-  widened_ = now;
+void BacklogGate::RaiseLimit(base::MonotonicTime now) {
+  const std::chrono::duration<double> seconds = now - last_raised_;
+  wait_factor_ = std::min(kMaxWaitFactor,
+                          wait_factor_ + kIncreasePerSecond * seconds.count());
+  last_raised_ = now;
 }
 
-void BacklogGate::DropPast(base::MonotonicTime now) {
+void BacklogGate::DropPastTarget(base::MonotonicTime now) {
   std::erase_if(rows_, [&](const auto& row) {
     if (row.second.due > now) {
       return false;
     }
-    ahead_ -= row.second.at_leaf;
+    backlog_ -= row.second.service_time;
     return true;
   });
 }
--- a/src/admission/backlog_gate.h
+++ b/src/admission/backlog_gate.h
@@ -33,7 +33,7 @@
 // Expected cost and urgency of one request.
 struct ExpectedWork {
   // Service time at one leaf without queueing; zero if not known.
-  base::Duration at_leaf{};
+  base::Duration service_time{};
   // Total time in which the request must be answered to meet its target.
   base::Duration time_to_target{};
   // 0 is the most urgent.
@@ -46,10 +46,10 @@
 
   // How long a request that arrives now would wait at leaves that serve `slots`
   // requests of this daemon concurrently.
-  base::Duration WaitAt(double slots, base::MonotonicTime now);
+  base::Duration ExpectedWait(double slots, base::MonotonicTime now);
   // Whether the request is expected to be answered within its target. Requests
   // with an unknown service time are admitted.
-  bool MayEnter(const ExpectedWork& work,
+  bool MayAdmit(const ExpectedWork& work,
                 double slots,
                 base::MonotonicTime now);
 
@@ -60,31 +60,31 @@
                    base::MonotonicTime now);
 
   // Adds an admitted request to the backlog.
-  void DidEnter(std::uint64_t id,
+  void DidAdmit(std::uint64_t id,
                 const ExpectedWork& work,
                 base::MonotonicTime now);
-  void DidLeave(std::uint64_t id);
+  void DidFinish(std::uint64_t id);
 
  private:
   struct Row {
     base::MonotonicTime due;
-    base::Duration at_leaf;
+    base::Duration service_time;
   };
 
   // Longest expected wait at the leaves with which the request is admitted.
-  base::Duration BoundOf(const ExpectedWork& work) const;
-  void DropPast(base::MonotonicTime now);
-  void Widen(base::MonotonicTime now);
+  base::Duration MaxWait(const ExpectedWork& work) const;
+  void DropPastTarget(base::MonotonicTime now);
+  void RaiseLimit(base::MonotonicTime now);
 
   // Admitted requests that are within their targets, by identifier.
   std::map<std::uint64_t, Row> rows_;
-  // Invariant: the sum of `at_leaf` over all rows.
-  base::Duration ahead_{};
+  // Invariant: the sum of `service_time` over all rows.
+  base::Duration backlog_{};
   // Permitted wait in the leaves' queues as a multiple of the time that the
   // target leaves for it.
-  double wait_part_;
-  base::MonotonicTime widened_;
-  base::MonotonicTime narrowed_;
+  double wait_factor_;
+  base::MonotonicTime last_raised_;
+  base::MonotonicTime last_reduced_;
 };
 
 }  // namespace medlarspread::admission
--- a/src/query/forward_admission.cc
+++ b/src/query/forward_admission.cc
@@ -119,10 +119,10 @@
   admission::BacklogGate& gate = in_work_->gates[collections.front()];
   const double slots = SlotsOf(collections);
   if (!options_.ablation.has(base::Mechanism::kBacklogGate) ||
-      gate.MayEnter(ExpectWork(route, request.waited), slots, clock_.Now())) {
+      gate.MayAdmit(ExpectWork(route, request.waited), slots, clock_.Now())) {
     return std::nullopt;
   }
-  const base::Duration wait = gate.WaitAt(slots, clock_.Now());
+  const base::Duration wait = gate.ExpectedWait(slots, clock_.Now());
   Refused refusal;
   refusal.request_id = request.request_id;
   refusal.error =
@@ -155,10 +155,10 @@
     const std::string& gate) {
   ++in_work_->requests;
   const std::uint64_t ticket = ++in_work_->tickets;
-  in_work_->gates[gate].DidEnter(ticket, ExpectWork(route, {}), clock_.Now());
+  in_work_->gates[gate].DidAdmit(ticket, ExpectWork(route, {}), clock_.Now());
   return {nullptr, [in_work = in_work_, gate, ticket](void*) {
             --in_work->requests;
-            in_work->gates[gate].DidLeave(ticket);
+            in_work->gates[gate].DidFinish(ticket);
           }};
 }
 
--- a/tests/admission/backlog_gate_test.cc
+++ b/tests/admission/backlog_gate_test.cc
@@ -22,8 +22,8 @@
   BacklogGate gate;
   constexpr int kMost = 1'000;
   int entered = 0;
-  while (entered < kMost && gate.MayEnter(work, slots, {})) {
-    gate.DidEnter(static_cast<std::uint64_t>(entered++), work, {});
+  while (entered < kMost && gate.MayAdmit(work, slots, {})) {
+    gate.DidAdmit(static_cast<std::uint64_t>(entered++), work, {});
   }
   return entered;
 }
@@ -43,10 +43,10 @@
   EXPECT_LT(CountEntering(kLater, 1.0), CountEntering(kUrgent, 1.0));
   BacklogGate gate;
   std::uint64_t id = 0;
-  while (gate.MayEnter(kLater, 1.0, {})) {
-    gate.DidEnter(id++, kLater, {});
+  while (gate.MayAdmit(kLater, 1.0, {})) {
+    gate.DidAdmit(id++, kLater, {});
   }
-  EXPECT_TRUE(gate.MayEnter(kUrgent, 1.0, {}));
+  EXPECT_TRUE(gate.MayAdmit(kUrgent, 1.0, {}));
 }
 
 TEST(BacklogGateTest, UnknownWorkIsLetIn) {
@@ -56,39 +56,39 @@
 TEST(BacklogGateTest, WhatIsAnsweredMakesRoom) {
   BacklogGate gate;
   std::uint64_t id = 0;
-  while (gate.MayEnter(kUrgent, 1.0, {})) {
-    gate.DidEnter(id++, kUrgent, {});
+  while (gate.MayAdmit(kUrgent, 1.0, {})) {
+    gate.DidAdmit(id++, kUrgent, {});
   }
-  gate.DidLeave(0);
-  EXPECT_TRUE(gate.MayEnter(kUrgent, 1.0, {}));
-  gate.DidLeave(0);
-  gate.DidEnter(id, kUrgent, {});
-  EXPECT_FALSE(gate.MayEnter(kUrgent, 1.0, {}));
+  gate.DidFinish(0);
+  EXPECT_TRUE(gate.MayAdmit(kUrgent, 1.0, {}));
+  gate.DidFinish(0);
+  gate.DidAdmit(id, kUrgent, {});
+  EXPECT_FALSE(gate.MayAdmit(kUrgent, 1.0, {}));
 }
 
 TEST(BacklogGateTest, RequestsPastTheirTargetDoNotCount) {
   BacklogGate gate;
   std::uint64_t id = 0;
-  while (gate.MayEnter(kUrgent, 1.0, {})) {
-    gate.DidEnter(id++, kUrgent, {});
+  while (gate.MayAdmit(kUrgent, 1.0, {})) {
+    gate.DidAdmit(id++, kUrgent, {});
   }
   const MonotonicTime later = MonotonicTime{} + Milliseconds(84);
-  EXPECT_EQ(gate.WaitAt(1.0, later), base::Duration{});
-  EXPECT_TRUE(gate.MayEnter(kUrgent, 1.0, later));
+  EXPECT_EQ(gate.ExpectedWait(1.0, later), base::Duration{});
+  EXPECT_TRUE(gate.MayAdmit(kUrgent, 1.0, later));
 }
 
 // Admits requests until one is refused; returns the number admitted.
 int Fill(BacklogGate& gate, MonotonicTime now) {
   int entered = 0;
-  for (; gate.MayEnter(kUrgent, 1.0, now); ++entered) {
-    gate.DidEnter(static_cast<std::uint64_t>(entered), kUrgent, now);
+  for (; gate.MayAdmit(kUrgent, 1.0, now); ++entered) {
+    gate.DidAdmit(static_cast<std::uint64_t>(entered), kUrgent, now);
   }
   return entered;
 }
 
 void Empty(BacklogGate& gate, int entered) {
   for (int id = 0; id < entered; ++id) {
-    gate.DidLeave(static_cast<std::uint64_t>(id));
+    gate.DidFinish(static_cast<std::uint64_t>(id));
   }
 }
 
@@ -118,9 +118,9 @@
 TEST(BacklogGateTest, RefusalsWithLittleAheadHaveAnotherCause) {
   BacklogGate gate;
   const MonotonicTime now = MonotonicTime{} + Milliseconds(60'000);
-  gate.DidEnter(0, kUrgent, now);
+  gate.DidAdmit(0, kUrgent, now);
   gate.DidOverload(kUrgent, 1.0, now);
-  gate.DidLeave(0);
+  gate.DidFinish(0);
   BacklogGate fresh;
   EXPECT_EQ(Fill(gate, now), Fill(fresh, now));
 }
@@ -149,10 +149,10 @@
     const MonotonicTime now = MonotonicTime{} + Milliseconds(step);
     for (due += load / kWork; due >= 1.0; due -= 1.0) {
       const std::uint64_t id = requests.size();
-      if (has_gate && !gate.MayEnter(kUrgent, 1.0, now)) {
+      if (has_gate && !gate.MayAdmit(kUrgent, 1.0, now)) {
         continue;
       }
-      gate.DidEnter(id, kUrgent, now);
+      gate.DidAdmit(id, kUrgent, now);
       requests.push_back({step, 0, 0, id});
       for (int shard = 0; shard < kShards; ++shard) {
         // Varies the queue limit, so that shards refuse different requests.
@@ -173,7 +173,7 @@
       busy_until[shard] = step + kWork;
       ++request.served;
       if (request.served + request.refused == kShards) {
-        gate.DidLeave(request.id);
+        gate.DidFinish(request.id);
         const bool is_in_time = step + kWork - request.arrived <= 84 * 3 / 2;
         good += request.refused <= 1 && is_in_time ? 1 : 0;
         if (request.refused > 1) {
