--- a/src/admission/entry_gate.cc
+++ b/src/admission/entry_gate.cc
@@ -12,10 +12,10 @@
 // As shares of the latency target of a class: all requests are admitted while
 // the expected wait is below the first, and none above the second. The rest of
 // the target is needed for the service time.
-constexpr double kLower = 0.5;
-constexpr double kUpper = 0.9;
-constexpr base::Duration kShortestRetryAfter = base::Milliseconds(50);
-constexpr base::Duration kLongestRetryAfter = base::Milliseconds(2000);
+constexpr double kAdmitAllBelow = 0.5;
+constexpr double kAdmitNoneAbove = 0.9;
+constexpr base::Duration kMinRetryAfter = base::Milliseconds(50);
+constexpr base::Duration kMaxRetryAfter = base::Milliseconds(2000);
 
 // The share of requests of the class to admit, 0 to 1.
 double AdmitShare(const blackboard::ClassTargets& targets,
@@ -23,9 +23,11 @@
   if (targets.latency.count() <= 0) {
     return 1.0;
   }
-  const double pressure = base::ToMilliseconds(expected_wait) /
-                          base::ToMilliseconds(targets.latency);
-  return std::clamp((kUpper - pressure) / (kUpper - kLower), 0.0, 1.0);
+  const double wait_share = base::ToMilliseconds(expected_wait) /
+                            base::ToMilliseconds(targets.latency);
+  return std::clamp(
+      (kAdmitNoneAbove - wait_share) / (kAdmitNoneAbove - kAdmitAllBelow), 0.0,
+      1.0);
 }
 
 }  // namespace
@@ -35,22 +37,22 @@
                           base::Duration deadline_left) {
   const bool is_in_time = expected_wait < deadline_left;
   if (is_in_time &&
-      TakeTurn(targets.name, AdmitShare(targets, expected_wait))) {
+      AdmitByCredit(targets.name, AdmitShare(targets, expected_wait))) {
     return {};
   }
   return {.is_admitted = false,
-          .retry_after = std::clamp(expected_wait * 2, kShortestRetryAfter,
-                                    kLongestRetryAfter)};
+          .retry_after =
+              std::clamp(expected_wait * 2, kMinRetryAfter, kMaxRetryAfter)};
 }
 
-bool EntryGate::TakeTurn(const std::string& class_name, double share) {
+bool EntryGate::AdmitByCredit(const std::string& class_name, double share) {
   const std::lock_guard lock(mutex_);
-  double& owed = owed_[class_name];
-  owed += share;
-  if (owed < 1.0) {
+  double& credit = credits_[class_name];
+  credit += share;
+  if (credit < 1.0) {
     return false;
   }
-  owed -= 1.0;
+  credit -= 1.0;
   return true;
 }
 
--- a/src/admission/entry_gate.h
+++ b/src/admission/entry_gate.h
@@ -34,11 +34,11 @@
 
  private:
   // Returns true for `share` of the calls for `class_name`, spread evenly.
-  bool TakeTurn(const std::string& class_name, double share);
+  bool AdmitByCredit(const std::string& class_name, double share);
 
   std::mutex mutex_;
   // Accumulated fraction of an admission per class. Invariant: in [0, 1).
-  std::map<std::string, double> owed_;
+  std::map<std::string, double> credits_;
 };
 
 }  // namespace medlarspread::admission
