--- a/src/admission/extra_send_budget.cc
+++ b/src/admission/extra_send_budget.cc
@@ -13,14 +13,14 @@
 // are then earned by the requests of at most five quarters, so four fifths of
 // the share can be granted.
 constexpr double kPlannedShare = 0.8;
-constexpr int kWindowPart = 4;
+constexpr int kWindowDivisor = 4;
 // Parts of the slack: the bucket capacity, and the refill in any window. Their
 // sum leaves 0.2 as a margin for daemons with different views of the number of
 // daemons.
-constexpr double kSavedSlack = 0.4;
-constexpr double kReturnedSlack = 0.4;
+constexpr double kBurstSlack = 0.4;
+constexpr double kRefilledSlack = 0.4;
 // Initial fill of the bucket as a part of its capacity.
-constexpr double kFirstPart = 0.15;
+constexpr double kInitialFill = 0.15;
 // Number of cells that `earned_for` is divided into. A request counts for one
 // cell less than that time and a send for one cell more, so that nothing is
 // spent twice.
@@ -28,7 +28,7 @@
 // The part of all aggregators together. The rest is for the other daemons in
 // case their aggregators fail; each of them can use at least one connection and
 // one extra send.
-constexpr double kAggregatorsPart = 0.6;
+constexpr double kAggregatorsShare = 0.6;
 
 double SecondsOf(base::Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -38,7 +38,7 @@
 
 ExtraSendBudget::ExtraSendBudget(const ExtraSendLimits& limits,
                                  base::MonotonicTime now)
-    : limits_(limits), refilled_(now), slack_(kFirstPart * limits.burst) {}
+    : limits_(limits), refilled_(now), slack_(kInitialFill * limits.burst) {}
 
 std::optional<Allowance> ExtraSendBudget::Take(base::MonotonicTime now) {
   if (Earned(now) >= 1.0) {
@@ -99,20 +99,20 @@
 }
 
 double PartOf(const Senders& senders) {
-  const int entries = senders.daemons - senders.aggregators;
-  if (senders.aggregators == 0 || entries <= 0) {
+  const int others = senders.daemons - senders.aggregators;
+  if (senders.aggregators == 0 || others <= 0) {
     return 1.0 / std::max(1, senders.daemons);
   }
-  return senders.is_aggregator ? kAggregatorsPart / senders.aggregators
-                               : (1.0 - kAggregatorsPart) / entries;
+  return senders.is_aggregator ? kAggregatorsShare / senders.aggregators
+                               : (1.0 - kAggregatorsShare) / others;
 }
 
 ExtraSendLimits PlanExtraSends(const ExtraSendBound& bound, double part) {
   const double slack = bound.slack * part;
   // A bucket with a capacity below one send would never permit any.
-  return {kPlannedShare * bound.share, bound.window / kWindowPart,
-          std::max(1.0, kSavedSlack * slack),
-          kReturnedSlack * slack / SecondsOf(bound.window)};
+  return {kPlannedShare * bound.share, bound.window / kWindowDivisor,
+          std::max(1.0, kBurstSlack * slack),
+          kRefilledSlack * slack / SecondsOf(bound.window)};
 }
 
 }  // namespace medlarspread::admission
