--- a/src/admission/leaf_window.cc
+++ b/src/admission/leaf_window.cc
@@ -12,23 +12,23 @@
 
 // The lowest limit: one request, followed by a pause of three times its
 // duration.
-constexpr double kLowestLimit = 0.25;
+constexpr double kMinLimit = 0.25;
 // Increase per answer, divided by the limit: the limit grows by one after
 // `limit` / 0.1 answers.
-constexpr double kGrowth = 0.1;
+constexpr double kIncrease = 0.1;
 constexpr std::size_t kBatch = 64;
 constexpr std::size_t kBatches = 8;
 // Requests are considered to queue inside the leaf if their median time exceeds
 // the lowest of the earlier medians by this factor.
-constexpr double kExcess = 2.0;
+constexpr double kQueueingFactor = 2.0;
 // Minimum pause after a shed reply.
 constexpr base::Duration kShedPause = base::Milliseconds(5);
 
 }  // namespace
 
-LeafWindow::LeafWindow(int places, int connections)
-    : maximum_(std::min(places, connections)), limit_(maximum_) {
-  assert(places >= 1 && connections >= 1);
+LeafWindow::LeafWindow(int max_concurrent, int connections)
+    : maximum_(std::min(max_concurrent, connections)), limit_(maximum_) {
+  assert(max_concurrent >= 1 && connections >= 1);
 }
 
 bool LeafWindow::TryAcquire() {
@@ -55,17 +55,16 @@
     DidShed(now);
     return;
   }
-  Learn(service_time);
+  RecordServiceTime(service_time);
   Grow(service_time, now);
 }
 
-void LeafWindow::DidAskToWait(base::Duration retry_after,
-                              base::MonotonicTime now) {
+void LeafWindow::PauseFor(base::Duration retry_after, base::MonotonicTime now) {
   not_before_ = std::max(not_before_, now + retry_after);
 }
 
 void LeafWindow::set_cold_since(base::MonotonicTime since) {
-  limit_ = kLowestLimit;
+  limit_ = kMinLimit;
   last_halved_ = since;
 }
 
@@ -80,29 +79,30 @@
     return;
   }
   last_halved_ = now;
-  limit_ = std::max(kLowestLimit, limit_ / 2);
+  limit_ = std::max(kMinLimit, limit_ / 2);
 }
 
-void LeafWindow::Learn(base::Duration service_time) {
+void LeafWindow::RecordServiceTime(base::Duration service_time) {
   constexpr int kWeight = 8;
   typical_ = typical_ == base::Duration{}
                  ? service_time
                  : typical_ + (service_time - typical_) / kWeight;
   batch_.push_back(service_time);
   if (batch_.size() == kBatch) {
-    CompareWithFloor();
+    CompareWithBaseline();
   }
 }
 
-void LeafWindow::CompareWithFloor() {
+void LeafWindow::CompareWithBaseline() {
   const auto middle = batch_.begin() + kBatch / 2;
   std::nth_element(batch_.begin(), middle, batch_.end());
   const base::Duration median = *middle;
   batch_.clear();
   if (!medians_.empty()) {
-    const base::Duration floor =
+    const base::Duration baseline =
         *std::min_element(medians_.begin(), medians_.end());
-    if (base::ToMilliseconds(median) > kExcess * base::ToMilliseconds(floor)) {
+    if (base::ToMilliseconds(median) >
+        kQueueingFactor * base::ToMilliseconds(baseline)) {
       limit_ = std::max(1.0, limit_ - 1);
     }
   }
@@ -116,13 +116,14 @@
 }
 
 void LeafWindow::Grow(base::Duration service_time, base::MonotonicTime now) {
-  limit_ = std::min<double>(maximum_, limit_ + kGrowth / std::max(1.0, limit_));
+  limit_ =
+      std::min<double>(maximum_, limit_ + kIncrease / std::max(1.0, limit_));
   if (limit_ >= 1.0) {
     return;
   }
   const auto pause = static_cast<std::int64_t>(
       static_cast<double>(service_time.count()) * (1.0 / limit_ - 1.0));
-  DidAskToWait(base::Duration(pause), now);
+  PauseFor(base::Duration(pause), now);
 }
 
 }  // namespace medlarspread::admission
--- a/src/admission/leaf_window.h
+++ b/src/admission/leaf_window.h
@@ -18,10 +18,10 @@
 
 class LeafWindow {
  public:
-  // `places` is the number of requests that the leaf takes from this daemon
-  // concurrently, `connections` the number of connections that it accepts from
-  // all daemons together. Both must be at least 1.
-  LeafWindow(int places, int connections);
+  // `max_concurrent` is the number of requests that the leaf takes from this
+  // daemon concurrently, `connections` the number of connections that it
+  // accepts from all daemons together. Both must be at least 1.
+  LeafWindow(int max_concurrent, int connections);
 
   // Takes a slot if one is free. The first overload checks only the limit; the
   // second also respects a pause after a shed reply or a cold start.
@@ -36,7 +36,7 @@
                 bool is_shed,
                 base::MonotonicTime now);
   // Pauses sends until `now + retry_after`, as the leaf requested.
-  void DidAskToWait(base::Duration retry_after, base::MonotonicTime now);
+  void PauseFor(base::Duration retry_after, base::MonotonicTime now);
 
   // The leaf has had a cold start at `since`: it first gets one request at a
   // time with pauses in between, and its limit grows from there (slow start).
@@ -53,13 +53,13 @@
 
  private:
   void DidShed(base::MonotonicTime now);
-  void Learn(base::Duration service_time);
+  void RecordServiceTime(base::Duration service_time);
   // Compares the median of the completed batch of service times with those of
   // earlier batches.
-  void CompareWithFloor();
+  void CompareWithBaseline();
   void Grow(base::Duration service_time, base::MonotonicTime now);
 
-  // Invariant: 1 <= maximum_ and kLowestLimit <= limit_ <= maximum_.
+  // Invariant: 1 <= maximum_ and kMinLimit <= limit_ <= maximum_.
   int maximum_;
   // A limit below 1 means one request at a time with pauses in between.
   double limit_;
--- a/src/routing/leaf_windows.cc
+++ b/src/routing/leaf_windows.cc
@@ -76,7 +76,7 @@
     row.window.DidReply(reply.service_time, IsShed(reply), now);
   }
   if (IsShed(reply)) {
-    row.window.DidAskToWait(reply.retry_after, now);
+    row.window.PauseFor(reply.retry_after, now);
   }
 }
 
--- a/tests/admission/leaf_window_test.cc
+++ b/tests/admission/leaf_window_test.cc
@@ -29,7 +29,7 @@
   window.DidReply({}, true, kStart);
   EXPECT_EQ(window.limit(), 2);
   EXPECT_FALSE(window.TryAcquire(kStart));
-  window.DidAskToWait(Milliseconds(30), kStart);
+  window.PauseFor(Milliseconds(30), kStart);
   EXPECT_FALSE(window.has_room(kStart + Milliseconds(29)));
   EXPECT_EQ(window.not_before(), kStart + Milliseconds(30));
   EXPECT_TRUE(window.TryAcquire(kStart + Milliseconds(30)));
