--- a/src/admission/retry_budget.cc
+++ b/src/admission/retry_budget.cc
@@ -9,13 +9,13 @@
 namespace medlarspread::admission {
 namespace {
 
-constexpr base::Duration kFirstBackoff = base::Milliseconds(2);
-constexpr int kMaximumDoublings = 6;
+constexpr base::Duration kInitialBackoff = base::Milliseconds(2);
+constexpr int kMaxDoublings = 6;
 
 }  // namespace
 
-RetryBudget::RetryBudget(double share, double most_tokens)
-    : share_(share), most_tokens_(most_tokens), tokens_(most_tokens) {
+RetryBudget::RetryBudget(double share, double max_tokens)
+    : share_(share), max_tokens_(max_tokens), tokens_(max_tokens) {
   assert(share >= 0.0 && share < 1.0);
 }
 
@@ -28,16 +28,16 @@
 }
 
 void RetryBudget::DidSucceed() {
-  tokens_ = std::min(most_tokens_, tokens_ + share_);
+  tokens_ = std::min(max_tokens_, tokens_ + share_);
 }
 
 base::Duration Backoff(int attempt, base::Random& random) {
   assert(attempt >= 1);
-  const int doublings = std::min(attempt - 1, kMaximumDoublings);
-  const base::Duration longest = kFirstBackoff * (1 << doublings);
+  const int doublings = std::min(attempt - 1, kMaxDoublings);
+  const base::Duration max_delay = kInitialBackoff * (1 << doublings);
   // Half of the delay is fixed, so that a retry never follows immediately.
-  const double jitter = random.Unit() * static_cast<double>(longest.count());
-  return longest / 2 + base::Duration(static_cast<std::int64_t>(jitter / 2));
+  const double jitter = random.Unit() * static_cast<double>(max_delay.count());
+  return max_delay / 2 + base::Duration(static_cast<std::int64_t>(jitter / 2));
 }
 
 }  // namespace medlarspread::admission
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -21,7 +21,7 @@
   static constexpr double kDefaultTokens = 10.0;
 
   explicit RetryBudget(double share = kDefaultShare,
-                       double most_tokens = kDefaultTokens);
+                       double max_tokens = kDefaultTokens);
 
   // Takes one retry from the budget; false if it is used up.
   bool Take();
@@ -31,8 +31,8 @@
 
  private:
   const double share_;
-  const double most_tokens_;
-  // Invariant: 0 <= tokens_ <= most_tokens_.
+  const double max_tokens_;
+  // Invariant: 0 <= tokens_ <= max_tokens_.
   double tokens_;
 };
 
--- a/src/admission/second_send_policy.h
+++ b/src/admission/second_send_policy.h
@@ -27,7 +27,7 @@
   static constexpr double kDefaultMultiple = 2.5;
 
   explicit SecondSendPolicy(double share = kDefaultShare,
-                            double lowest_multiple = kDefaultMultiple);
+                            double min_multiple = kDefaultMultiple);
 
   // How long after the first send the second send is made; nothing until enough
   // replies have been measured.
@@ -43,15 +43,15 @@
   void DidReply(base::Duration service_time);
 
  private:
-  void LearnDelay();
+  void UpdateDelay();
   void AdjustMultiple();
 
   const double share_;
-  const double lowest_multiple_;
+  const double min_multiple_;
   // Invariant: 0 <= tokens_ <= kMaximumTokens.
   double tokens_;
   // The delay as a multiple of the typical service time. Invariant: at least
-  // lowest_multiple_.
+  // min_multiple_.
   double multiple_;
   // Counts since the last adjustment of the multiple.
   double taken_ = 0.0;
