--- a/src/admission/urgency_queue.cc
+++ b/src/admission/urgency_queue.cc
@@ -1,5 +1,5 @@
-// Keeps one ordered line per class and merges the lines when an item is taken,
-// because the error budget burn of a class changes while its items wait.
+// Keeps one ordered queue per class and merges the queues when an item is
+// taken, because the error budget burn of a class changes while its items wait.
 
 #include "src/admission/urgency_queue.h"
 
@@ -19,9 +19,9 @@
 constexpr double kHalfBurn = 2.0;
 // Number of recent slots from which the share of each class is estimated, and
 // the lowest share that is assumed.
-constexpr double kRememberedPops = 200.0;
-constexpr double kLowestShare = 0.01;
-// Separates the lines of two classes whatever the age of their items.
+constexpr double kMaxCountedPops = 200.0;
+constexpr double kMinShare = 0.01;
+// Separates the queues of two classes whatever the age of their items.
 constexpr double kStrictMultiple = 1e4;
 
 // The part of the slack that is left by the class's burn, from 0 to 1.
@@ -43,8 +43,9 @@
 
 void UrgencyQueue::Push(QueueItem item) {
   assert(!items_.contains(item.id));
-  Line& line = item.is_hedge ? hedges_ : lines_[item.class_name];
-  line.emplace(PlaceOf(item), item.id);
+  OrderedItems& queue =
+      item.is_hedge ? hedges_ : class_queues_[item.class_name];
+  queue.emplace(SortKeyOf(item), item.id);
   deadlines_.emplace(item.deadline, item.id);
   items_.emplace(item.id, std::move(item));
 }
@@ -53,10 +54,10 @@
                                                const Predicate& predicate) {
   std::optional<std::uint64_t> found = FindHedge(predicate);
   if (!found) {
-    found = FindInLines(LinesInTime(now), predicate);
+    found = FindInQueues(CursorsInTime(now), predicate);
   }
   if (!found) {
-    found = FindInLines(LinesLate(now), predicate);
+    found = FindInQueues(CursorsLate(now), predicate);
   }
   if (found) {
     DidPop(items_.at(*found).class_name);
@@ -73,12 +74,12 @@
   const QueueItem& item = found->second;
   deadlines_.erase({item.deadline, id});
   if (item.is_hedge) {
-    hedges_.erase({PlaceOf(item), id});
+    hedges_.erase({SortKeyOf(item), id});
   } else {
-    const auto line = lines_.find(item.class_name);
-    line->second.erase({PlaceOf(item), id});
-    if (line->second.empty()) {
-      lines_.erase(line);
+    const auto queue = class_queues_.find(item.class_name);
+    queue->second.erase({SortKeyOf(item), id});
+    if (queue->second.empty()) {
+      class_queues_.erase(queue);
     }
   }
   items_.erase(found);
@@ -98,12 +99,12 @@
                                           double completions_per_second) const {
   assert(completions_per_second > 0);
   double wait = static_cast<double>(CountAhead(item)) / completions_per_second;
-  const auto line = lines_.find(item.class_name);
+  const auto queue = class_queues_.find(item.class_name);
   const auto pops = pops_by_class_.find(item.class_name);
-  if (!item.is_hedge && line != lines_.end() && pops_ > 0) {
+  if (!item.is_hedge && queue != class_queues_.end() && pops_ > 0) {
     const double popped = pops == pops_by_class_.end() ? 0.0 : pops->second;
-    const double share = std::max(kLowestShare, popped / pops_);
-    wait = std::max(wait, static_cast<double>(line->second.size()) /
+    const double share = std::max(kMinShare, popped / pops_);
+    wait = std::max(wait, static_cast<double>(queue->second.size()) /
                               (share * completions_per_second));
   }
   constexpr double kMicrosecondsPerSecond = 1e6;
@@ -116,11 +117,12 @@
   if (item.is_hedge) {
     return ahead;
   }
-  const base::MonotonicTime place = PlaceOf(item) + OffsetOf(item.class_name);
-  for (const auto& [class_name, line] : lines_) {
+  const base::MonotonicTime sort_key =
+      SortKeyOf(item) + OffsetOf(item.class_name);
+  for (const auto& [class_name, queue] : class_queues_) {
     const auto bound =
-        line.lower_bound({place - OffsetOf(class_name), item.id});
-    ahead += static_cast<std::size_t>(std::distance(line.begin(), bound));
+        queue.lower_bound({sort_key - OffsetOf(class_name), item.id});
+    ahead += static_cast<std::size_t>(std::distance(queue.begin(), bound));
   }
   return ahead;
 }
@@ -128,7 +130,7 @@
 void UrgencyQueue::DidPop(const std::string& class_name) {
   pops_by_class_[class_name] += 1.0;
   pops_ += 1.0;
-  if (pops_ < kRememberedPops) {
+  if (pops_ < kMaxCountedPops) {
     return;
   }
   pops_ /= 2;
@@ -147,7 +149,7 @@
   return std::nullopt;
 }
 
-std::optional<std::uint64_t> UrgencyQueue::FindInLines(
+std::optional<std::uint64_t> UrgencyQueue::FindInQueues(
     std::vector<Cursor> cursors,
     const Predicate& predicate) const {
   for (;;) {
@@ -172,33 +174,33 @@
   }
 }
 
-std::vector<UrgencyQueue::Cursor> UrgencyQueue::LinesInTime(
+std::vector<UrgencyQueue::Cursor> UrgencyQueue::CursorsInTime(
     base::MonotonicTime now) const {
-  const base::MonotonicTime bound = LateBound(now);
+  const base::MonotonicTime bound = LateThreshold(now);
   std::vector<Cursor> cursors;
-  for (const auto& [class_name, line] : lines_) {
-    cursors.push_back({&line, line.lower_bound({bound, 0}), line.end(),
+  for (const auto& [class_name, queue] : class_queues_) {
+    cursors.push_back({&queue, queue.lower_bound({bound, 0}), queue.end(),
                        OffsetOf(class_name)});
   }
   return cursors;
 }
 
-std::vector<UrgencyQueue::Cursor> UrgencyQueue::LinesLate(
+std::vector<UrgencyQueue::Cursor> UrgencyQueue::CursorsLate(
     base::MonotonicTime now) const {
-  const base::MonotonicTime bound = LateBound(now);
+  const base::MonotonicTime bound = LateThreshold(now);
   std::vector<Cursor> cursors;
-  for (const auto& [class_name, line] : lines_) {
-    cursors.push_back({&line, line.begin(), line.lower_bound({bound, 0}),
+  for (const auto& [class_name, queue] : class_queues_) {
+    cursors.push_back({&queue, queue.begin(), queue.lower_bound({bound, 0}),
                        OffsetOf(class_name)});
   }
   return cursors;
 }
 
-base::MonotonicTime UrgencyQueue::LateBound(base::MonotonicTime now) const {
+base::MonotonicTime UrgencyQueue::LateThreshold(base::MonotonicTime now) const {
   return order_ == UrgencyOrder::kArrival ? base::MonotonicTime{} : now;
 }
 
-base::MonotonicTime UrgencyQueue::PlaceOf(const QueueItem& item) const {
+base::MonotonicTime UrgencyQueue::SortKeyOf(const QueueItem& item) const {
   if (order_ == UrgencyOrder::kArrival) {
     return {static_cast<std::int64_t>(item.id)};
   }
--- a/src/admission/urgency_queue.h
+++ b/src/admission/urgency_queue.h
@@ -82,40 +82,40 @@
 
  private:
   // By due time (by order of arrival under kArrival), then by identifier.
-  using Line = std::set<std::pair<base::MonotonicTime, std::uint64_t>>;
-  // A position in one line while Pop() merges the lines.
+  using OrderedItems = std::set<std::pair<base::MonotonicTime, std::uint64_t>>;
+  // A position in one queue while Pop() merges the queues.
   struct Cursor {
-    const Line* line;
-    Line::const_iterator position;
-    Line::const_iterator end;
+    const OrderedItems* queue;
+    OrderedItems::const_iterator position;
+    OrderedItems::const_iterator end;
     base::Duration offset;
   };
 
   std::optional<std::uint64_t> FindHedge(const Predicate& predicate) const;
-  std::optional<std::uint64_t> FindInLines(std::vector<Cursor> cursors,
-                                           const Predicate& predicate) const;
-  std::vector<Cursor> LinesInTime(base::MonotonicTime now) const;
-  std::vector<Cursor> LinesLate(base::MonotonicTime now) const;
+  std::optional<std::uint64_t> FindInQueues(std::vector<Cursor> cursors,
+                                            const Predicate& predicate) const;
+  std::vector<Cursor> CursorsInTime(base::MonotonicTime now) const;
+  std::vector<Cursor> CursorsLate(base::MonotonicTime now) const;
   // Items that are sorted before this key count as late.
-  base::MonotonicTime LateBound(base::MonotonicTime now) const;
-  // The key by which an item is sorted in its line.
-  base::MonotonicTime PlaceOf(const QueueItem& item) const;
+  base::MonotonicTime LateThreshold(base::MonotonicTime now) const;
+  // The key by which an item is sorted in its queue.
+  base::MonotonicTime SortKeyOf(const QueueItem& item) const;
   std::size_t CountAhead(const QueueItem& item) const;
   // Records which class a slot went to.
   void DidPop(const std::string& class_name);
-  // Added to the due times of a class when the lines are merged.
+  // Added to the due times of a class when the queues are merged.
   base::Duration OffsetOf(const std::string& class_name) const;
 
   const blackboard::Blackboard& blackboard_;
   const UrgencyOrder order_;
   // Invariant: each item is in deadlines_ and in exactly one of hedges_ and
-  // the line of its class.
+  // the queue of its class.
   std::unordered_map<std::uint64_t, QueueItem> items_;
-  Line hedges_;
-  std::map<std::string, Line> lines_;
-  Line deadlines_;
+  OrderedItems hedges_;
+  std::map<std::string, OrderedItems> class_queues_;
+  OrderedItems deadlines_;
   // Decaying count of the recent slots that went to each class. Invariant:
-  // pops_ is their sum and at most kRememberedPops.
+  // pops_ is their sum and at most kMaxCountedPops.
   std::map<std::string, double> pops_by_class_;
   double pops_ = 0.0;
 };
