--- a/tests/admission/backlog_gate_test.cc
+++ b/tests/admission/backlog_gate_test.cc
@@ -15,45 +15,45 @@
 using base::MonotonicTime;
 
 constexpr ExpectedWork kUrgent{Milliseconds(8), Milliseconds(84), 0};
-constexpr ExpectedWork kLater{Milliseconds(8), Milliseconds(84), 2};
+constexpr ExpectedWork kLessUrgent{Milliseconds(8), Milliseconds(84), 2};
 
 // How many requests of one kind are admitted at the same time.
-int CountEntering(const ExpectedWork& work, double slots) {
+int CountAdmitted(const ExpectedWork& work, double slots) {
   BacklogGate gate;
-  constexpr int kMost = 1'000;
-  int entered = 0;
-  while (entered < kMost && gate.MayAdmit(work, slots, {})) {
-    gate.DidAdmit(static_cast<std::uint64_t>(entered++), work, {});
+  constexpr int kMaxRequests = 1'000;
+  int admitted = 0;
+  while (admitted < kMaxRequests && gate.MayAdmit(work, slots, {})) {
+    gate.DidAdmit(static_cast<std::uint64_t>(admitted++), work, {});
   }
-  return entered;
+  return admitted;
 }
 
-TEST(BacklogGateTest, MoreSlotsLetMoreIn) {
-  const int one = CountEntering(kUrgent, 1.0);
+TEST(BacklogGateTest, MoreSlotsAdmitMore) {
+  const int one = CountAdmitted(kUrgent, 1.0);
   EXPECT_GE(one, 4 * 76 / 8);
   EXPECT_LE(one, 4 * 76 / 8 + 1);
-  EXPECT_GE(CountEntering(kUrgent, 2.0), 2 * one - 2);
+  EXPECT_GE(CountAdmitted(kUrgent, 2.0), 2 * one - 2);
 }
 
-TEST(BacklogGateTest, TheFirstRequestAlwaysEnters) {
-  EXPECT_EQ(CountEntering(kUrgent, 0.0), 1);
+TEST(BacklogGateTest, TheFirstRequestIsAlwaysAdmitted) {
+  EXPECT_EQ(CountAdmitted(kUrgent, 0.0), 1);
 }
 
-TEST(BacklogGateTest, LessUrgentRequestsGiveWayFirst) {
-  EXPECT_LT(CountEntering(kLater, 1.0), CountEntering(kUrgent, 1.0));
+TEST(BacklogGateTest, LessUrgentRequestsAreRefusedFirst) {
+  EXPECT_LT(CountAdmitted(kLessUrgent, 1.0), CountAdmitted(kUrgent, 1.0));
   BacklogGate gate;
   std::uint64_t id = 0;
-  while (gate.MayAdmit(kLater, 1.0, {})) {
-    gate.DidAdmit(id++, kLater, {});
+  while (gate.MayAdmit(kLessUrgent, 1.0, {})) {
+    gate.DidAdmit(id++, kLessUrgent, {});
   }
   EXPECT_TRUE(gate.MayAdmit(kUrgent, 1.0, {}));
 }
 
-TEST(BacklogGateTest, UnknownWorkIsLetIn) {
-  EXPECT_EQ(CountEntering({{}, Milliseconds(84), 0}, 1.0), 1'000);
+TEST(BacklogGateTest, UnknownServiceTimeIsAdmitted) {
+  EXPECT_EQ(CountAdmitted({{}, Milliseconds(84), 0}, 1.0), 1'000);
 }
 
-TEST(BacklogGateTest, WhatIsAnsweredMakesRoom) {
+TEST(BacklogGateTest, FinishedRequestsReduceTheBacklog) {
   BacklogGate gate;
   std::uint64_t id = 0;
   while (gate.MayAdmit(kUrgent, 1.0, {})) {
@@ -79,20 +79,20 @@
 
 // Admits requests until one is refused; returns the number admitted.
 int Fill(BacklogGate& gate, MonotonicTime now) {
-  int entered = 0;
-  for (; gate.MayAdmit(kUrgent, 1.0, now); ++entered) {
-    gate.DidAdmit(static_cast<std::uint64_t>(entered), kUrgent, now);
+  int admitted = 0;
+  for (; gate.MayAdmit(kUrgent, 1.0, now); ++admitted) {
+    gate.DidAdmit(static_cast<std::uint64_t>(admitted), kUrgent, now);
   }
-  return entered;
+  return admitted;
 }
 
-void Empty(BacklogGate& gate, int entered) {
-  for (int id = 0; id < entered; ++id) {
+void Empty(BacklogGate& gate, int admitted) {
+  for (int id = 0; id < admitted; ++id) {
     gate.DidFinish(static_cast<std::uint64_t>(id));
   }
 }
 
-TEST(BacklogGateTest, FailuresNarrowItAndTimeWidensIt) {
+TEST(BacklogGateTest, FailuresReduceTheLimitAndTimeRestoresIt) {
   BacklogGate gate;
   MonotonicTime now = MonotonicTime{} + Milliseconds(60'000);
   const int widest = Fill(gate, now);
@@ -115,7 +115,7 @@
   EXPECT_EQ(Fill(gate, now + Milliseconds(20'000)), widest);
 }
 
-TEST(BacklogGateTest, RefusalsWithLittleAheadHaveAnotherCause) {
+TEST(BacklogGateTest, RefusalsWithASmallBacklogAreNotOverload) {
   BacklogGate gate;
   const MonotonicTime now = MonotonicTime{} + Milliseconds(60'000);
   gate.DidAdmit(0, kUrgent, now);
--- a/tests/admission/budgets_test.cc
+++ b/tests/admission/budgets_test.cc
@@ -75,7 +75,7 @@
   EXPECT_EQ(policy.Delay(), before);
 }
 
-TEST(RetryBudgetTest, NothingIsLeftInABlackout) {
+TEST(RetryBudgetTest, AnOutageUsesUpTheBudget) {
   RetryBudget budget(0.1);
   int taken = 0;
   for (int i = 0; i < 1000; ++i) {
--- a/tests/admission/entry_gate_test.cc
+++ b/tests/admission/entry_gate_test.cc
@@ -78,7 +78,7 @@
   EXPECT_EQ(Admitted(audit_, wait_ms(audit_)), 0);
 }
 
-TEST_F(EntryGateTest, RefusesWhatCannotBeMet) {
+TEST_F(EntryGateTest, RefusesRequestsThatWouldMissTheDeadline) {
   const Decision decision =
       gate_.Admit(desk_, Milliseconds(5), Milliseconds(5));
   EXPECT_FALSE(decision.is_admitted);
--- a/tests/admission/extra_send_budget_test.cc
+++ b/tests/admission/extra_send_budget_test.cc
@@ -40,7 +40,7 @@
   EXPECT_EQ(TakeAll(budget, {}), 1);
 }
 
-TEST(ExtraSendBudgetTest, TimeBringsTheSlackBackUpToTheBurst) {
+TEST(ExtraSendBudgetTest, TimeRefillsTheSlackUpToTheBurst) {
   ExtraSendBudget budget(kLimits, {});
   (void)TakeAll(budget, {});
   const MonotonicTime second = MonotonicTime{} + Milliseconds(1'000);
@@ -48,7 +48,7 @@
   EXPECT_EQ(TakeAll(budget, second + Milliseconds(60'000)), 4);
 }
 
-TEST(ExtraSendBudgetTest, WhatCalmSecondsEarnedIsThereWhenTroubleBegins) {
+TEST(ExtraSendBudgetTest, EarnedSendsAreAvailableWhenAFaultBegins) {
   ExtraSendBudget budget({0.25, Milliseconds(10'000), 1.0, 0.0}, {});
   MonotonicTime now;
   for (int request = 0; request < 400; ++request) {
@@ -58,7 +58,7 @@
   EXPECT_EQ(TakeAll(budget, now), 100);
 }
 
-TEST(ExtraSendBudgetTest, WhatWasEarnedIsLostAfterItsTime) {
+TEST(ExtraSendBudgetTest, EarnedSendsExpire) {
   ExtraSendBudget budget({0.25, Milliseconds(10'000), 1.0, 0.0}, {});
   for (int request = 0; request < 400; ++request) {
     budget.DidRequest({});
@@ -66,7 +66,7 @@
   EXPECT_EQ(TakeAll(budget, MonotonicTime{} + Milliseconds(10'000)), 0);
 }
 
-TEST(ExtraSendBudgetTest, WhatWasSpentCountsForTheWholeTime) {
+TEST(ExtraSendBudgetTest, SpentSendsCountForTheWholeTime) {
   ExtraSendBudget budget({0.25, Milliseconds(10'000), 1.0, 0.0}, {});
   for (int request = 0; request < 400; ++request) {
     budget.DidRequest({});
@@ -81,7 +81,7 @@
   EXPECT_EQ(TakeAll(budget, later + Milliseconds(1'000)), 100);
 }
 
-TEST(ExtraSendBudgetTest, ALowerLimitTakesWhatWasSavedUp) {
+TEST(ExtraSendBudgetTest, ALowerLimitReducesTheSavedSlack) {
   ExtraSendBudget budget(kLimits, {});
   const MonotonicTime later = MonotonicTime{} + Milliseconds(10'000);
   ASSERT_TRUE(budget.Take(later));
--- a/tests/admission/leaf_window_test.cc
+++ b/tests/admission/leaf_window_test.cc
@@ -85,7 +85,7 @@
   EXPECT_LT(reduced, kReplies / 100) << "seed " << kSeed;
 }
 
-TEST(LeafWindowTest, ColdLeafGetsPausesThatShrink) {
+TEST(LeafWindowTest, ColdLeafGetsDecreasingPauses) {
   LeafWindow window(2, 25);
   window.set_cold_since(kStart);
   EXPECT_EQ(window.limit(), 1);
--- a/tests/admission/urgency_queue_test.cc
+++ b/tests/admission/urgency_queue_test.cc
@@ -50,7 +50,7 @@
   EXPECT_EQ(Pop(20), 1u);
 }
 
-TEST_F(UrgencyQueueTest, BurningClassGoesForward) {
+TEST_F(UrgencyQueueTest, ClassThatBurnsItsBudgetMovesForward) {
   blackboard::TargetsView targets;
   targets.classes["desk"].latency = Milliseconds(100);
   targets.classes["site"].latency = Milliseconds(100);
@@ -65,7 +65,7 @@
 }
 
 // Three items; each order puts a different one first.
-TEST_F(UrgencyQueueTest, EachOrderPutsItsOwnFirst) {
+TEST_F(UrgencyQueueTest, EachOrderPutsADifferentItemFirst) {
   blackboard::TargetsView targets;
   targets.classes["counter"].latency = Milliseconds(100);
   targets.classes["audit"].latency = Milliseconds(3000);
@@ -111,7 +111,7 @@
   EXPECT_EQ(queue_.size(), 1u);
 }
 
-TEST_F(UrgencyQueueTest, ExpectedWaitCountsWhatIsAhead) {
+TEST_F(UrgencyQueueTest, ExpectedWaitCountsItemsAhead) {
   for (std::uint64_t id = 1; id <= 10; ++id) {
     queue_.Push(Item(id, "desk", static_cast<std::int64_t>(id) * 10));
   }
@@ -120,7 +120,7 @@
 }
 
 // No item is ahead of the new one, but its class gets only one slot in ten.
-TEST_F(UrgencyQueueTest, ExpectedWaitKnowsTheShareOfTheClass) {
+TEST_F(UrgencyQueueTest, ExpectedWaitUsesTheShareOfTheClass) {
   for (std::uint64_t id = 1; id <= 9; ++id) {
     queue_.Push(Item(id, "desk", 10));
   }
