--- a/src/blackboard/blackboard.h
+++ b/src/blackboard/blackboard.h
@@ -1,5 +1,5 @@
-// The blackboard: what the controllers of one daemon have found out, for each
-// other and for the traffic threads. Each entry has one writer, named here.
+// The blackboard: current views that the controllers of one daemon publish for
+// each other and the traffic threads. Each entry has one writer, named here.
 
 #ifndef MEDLARSPREAD_BLACKBOARD_BLACKBOARD_H_
 #define MEDLARSPREAD_BLACKBOARD_BLACKBOARD_H_
@@ -18,7 +18,7 @@
   // Written by targets::TargetsController. The revision never decreases.
   Cell<TargetsView> targets;
   Cell<RoutesView> routes;
-  // Written by daemon::StoreControllers: up to where the store is known.
+  // Written by daemon::StoreControllers: the position up to which it is known.
   Cell<store::Position> store;
   // Written by quarantine::VerdictController.
   Cell<QuarantineView> quarantine;
--- a/src/blackboard/cell.h
+++ b/src/blackboard/cell.h
@@ -1,5 +1,5 @@
-// One entry of the blackboard: an immutable value that a controller replaces
-// whole and that any thread reads without waiting.
+// One entry of the blackboard: an immutable value that its controller replaces
+// as a whole and that any thread can read without waiting.
 
 #ifndef MEDLARSPREAD_BLACKBOARD_CELL_H_
 #define MEDLARSPREAD_BLACKBOARD_CELL_H_
--- a/src/blackboard/views.h
+++ b/src/blackboard/views.h
@@ -19,7 +19,7 @@
 // The size of the key space of every collection. Shards are ranges of it.
 constexpr std::int32_t kKeySpace = 65536;
 
-// One region of the key space: [low, high).
+// A range of the key space: [low, high).
 struct KeyRange {
   std::int32_t low = 0;
   std::int32_t high = 0;
@@ -30,7 +30,7 @@
   friend auto operator<=>(const KeyRange&, const KeyRange&) = default;
 };
 
-// An index version together with the shard layout it is served in.
+// An index version and the shard layout in which it is served.
 struct Snapshot {
   std::int64_t index_version = 0;
   std::int64_t layout_version = 0;
@@ -39,7 +39,7 @@
   friend auto operator<=>(const Snapshot&, const Snapshot&) = default;
 };
 
-// What one leaf can answer for: a range of the key space in one snapshot.
+// What one leaf can serve: a range of the key space in one snapshot.
 struct Holding {
   Snapshot snapshot;
   KeyRange range;
@@ -53,14 +53,14 @@
 // One daemon of this system, on its VM.
 struct Member {
   std::string name;
-  // Where its peer link listens, "ip:port".
+  // The address that its peer link listens on, "ip:port".
   std::string address;
   std::string region;
   std::string failure_domain;
-  // Where it takes requests that other daemons hand over, "ip:port"; empty if
-  // it takes none.
+  // The address for requests that other daemons hand over, "ip:port"; empty if
+  // it accepts none.
   std::string query_address;
-  // Its VM's part of a core, 1 for a whole one.
+  // The share of a processor core that its VM has; 1 is a whole core.
   double processor_share = 1.0;
   std::int64_t incarnation = 0;
   MemberState state = MemberState::kLive;
@@ -73,11 +73,11 @@
 struct MembershipView {
   std::string self;
   std::map<std::string, Member> members;
-  // Daemons that are not in `members`, because they are silent or can't be
-  // reached, but with which membership still tries to talk. They get no work.
+  // Daemons that are silent or unreachable and therefore not in `members`, but
+  // that membership still tries to contact. They get no requests.
   std::map<std::string, Member> absent;
   // Whether a peer has confirmed this view since the start, or since this VM
-  // last woke from being frozen. False also means not to trust it alone.
+  // last resumed from a freeze. While false, the view alone isn't reliable.
   bool is_settled = false;
 };
 
@@ -85,11 +85,11 @@
 
 // One leaf (a replica of a shard) as this daemon knows it.
 struct Upstream {
-  // Unique to one start of the leaf: what is learnt of a leaf, and connections
-  // to it, go by it.
+  // Unique to one process start of the leaf. Connections to the leaf and
+  // statistics about it are keyed by this name.
   std::string name;
-  // What the leaf calls itself. It may start again under the same identifier
-  // and then knows nothing of before.
+  // The leaf's own identifier. A restarted leaf may use it again but has none
+  // of its earlier state.
   std::string id;
   // "ip:port" of its HTTP interface.
   std::string address;
@@ -97,12 +97,12 @@
   std::string failure_domain;
   std::string collection;
   UpstreamState state = UpstreamState::kServing;
-  // Requests it works on at once.
+  // Requests that it serves concurrently.
   int slots = 1;
   // Connections it accepts from all daemons together.
   int connections = 1;
   std::vector<Holding> holdings;
-  // When it became cold (kCold): it is brought in slowly from then on.
+  // When it became cold (kCold); its load grows slowly from then on.
   base::MonotonicTime cold_since;
 
   friend bool operator==(const Upstream&, const Upstream&) = default;
@@ -113,7 +113,7 @@
   std::map<std::string, Upstream> upstreams;
 };
 
-// The targets of one class of work, as operators state them.
+// The targets of one request class, as configured by operators.
 struct ClassTargets {
   std::string name;
   std::string collection;
@@ -122,19 +122,19 @@
   double percentile = 99.0;
   // Share of the key space that an answer must cover, 0 to 1.
   double coverage = 1.0;
-  // Share of answers that must meet the coverage target, out of 100.
+  // Percentage of answers that must meet the coverage target.
   double coverage_percentile = 99.0;
 
   friend bool operator==(const ClassTargets&, const ClassTargets&) = default;
 };
 
-// The targets in force. Revision 0 means that none has been learnt yet.
+// The targets in force. Revision 0 means that none are known yet.
 struct TargetsView {
   std::int64_t revision = 0;
-  // XXH64 of the stored body; two VMs with one revision must agree on it.
+  // XXH64 of the stored body; equal on all VMs with the same revision.
   std::int64_t digest = 0;
   std::map<std::string, ClassTargets> classes;
-  // When each revision came into force here is for `status` only.
+  // When this revision came into force on this VM; used only by `status`.
   std::int64_t in_force_since_wall_ms = 0;
 };
 
@@ -159,8 +159,8 @@
                          const WeightedCollections&) = default;
 };
 
-// Each request goes to every shard, and the greatest records of the shards'
-// replies make up the answer. Each shard is a collection with replicas.
+// Each request goes to every shard, and the answer consists of the greatest
+// records of the shards' replies. Each shard is a collection with replicas.
 struct AllShards {
   std::vector<std::string> shards;
   std::size_t most_records = 0;
@@ -170,10 +170,10 @@
 
 using Destination = std::variant<OneCollection, WeightedCollections, AllShards>;
 
-// Requests of one host whose path begins with a prefix: a class of work with
-// its targets, and where its requests go.
+// A route: the requests for one host whose path begins with a prefix. They form
+// one request class with its targets and destination.
 struct WorkRoute {
-  // `targets.name` is the route's; `collection` of it stays empty.
+  // `targets.name` is the route's name; `targets.collection` stays empty.
   ClassTargets targets;
   std::string host;
   std::string prefix;
@@ -183,13 +183,13 @@
   int priority = 0;
   // The longest time that a request may wait for its final answer.
   base::Duration timeout{};
-  // Replicas of a shard that one request may be sent to, at most.
+  // The most replicas of a shard that one request may be sent to.
   int most_attempts = 1;
 
   friend bool operator==(const WorkRoute&, const WorkRoute&) = default;
 };
 
-// What callers may send, and how long they may take.
+// Size limits and timeouts of requests from callers.
 struct CallerLimits {
   std::size_t header_bytes = 16 << 10;
   std::size_t body_bytes = 1 << 20;
@@ -199,7 +199,7 @@
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
 };
 
-// The routes in force. Revision 0 means that none has been learnt yet.
+// The routes in force. Revision 0 means that none are known yet.
 // Invariant: a published revision is never followed by a lower one.
 struct RoutesView {
   std::int64_t revision = 0;
@@ -209,15 +209,15 @@
   CallerLimits limits;
 };
 
-// What was found of a request.
+// The quarantine state of a request.
 enum class QuarantineState {
-  // It ends the leaves that run it, and reaches none any more.
+  // It ends the leaves that run it and is no longer sent to any.
   kConvicted,
-  // The same, and it was tried once more since, in case the verdict was wrong.
+  // As kConvicted, but it was retried once in case the verdict was wrong.
   kRetried,
-  // It was convicted and has been answered since: it counts like any other.
+  // It was convicted but answered since then; treated like any other request.
   kCleared,
-  // An operator says that it may run, whatever ends under it.
+  // An operator allows it to run, even if leaves end while they run it.
   kLifted,
 };
 
@@ -230,16 +230,16 @@
 
 struct QuarantineEntry {
   QuarantineState state = QuarantineState::kConvicted;
-  // Since when, by the wall clock of the daemon that wrote it; for display.
+  // Start of the state by the wall clock of the writing daemon; for display.
   std::int64_t wall_ms = 0;
-  // The leaves that ended under it, for operators.
+  // The leaves that ended while they ran the request, for operators.
   std::string evidence;
 
   friend bool operator==(const QuarantineEntry&,
                          const QuarantineEntry&) = default;
 };
 
-// The verdicts that the store holds, by the text of the request's fingerprint.
+// The verdicts in the store, by the text form of the request's fingerprint.
 struct QuarantineView {
   std::map<std::string, QuarantineEntry> entries;
 };
@@ -252,9 +252,9 @@
   std::string reason = "starting";
 };
 
-// How a class did of late, from the counts of this daemon; read by admission.
+// Recent error budget burn of a class by this daemon's counts; for admission.
 struct ClassBurn {
-  // Share of the error budget that is being spent: 1.0 spends it exactly.
+  // Rate of use of the error budget: 1.0 uses it up exactly.
   double short_window_burn = 0.0;
   double long_window_burn = 0.0;
 };
