--- a/src/routing/leaf_tracker.cc
+++ b/src/routing/leaf_tracker.cc
@@ -60,10 +60,10 @@
 // that must not be repeated, because their failure is final.
 constexpr double kFailureCost = 1.0;
 constexpr double kUnrepeatableFailureCost = 3.0;
-// Replies from a leaf are reported to other daemons only while at most this
-// many came within about the second constant (in microseconds). With more
-// replies a daemon can judge the leaf by itself, and so can other daemons that
-// are as busy.
+// Replies from a leaf are reported to other daemons only while this daemon gets
+// at most kMaxRepliesToReport of them in about kRepliesDecayTime microseconds.
+// With more replies it can judge the leaf by itself, and so can other daemons
+// that are as busy.
 constexpr double kMaxRepliesToReport = 3.0;
 constexpr double kRepliesDecayTime = 3'000'000.0;
 // Weight of a reply reported by another daemon relative to an own one. A
--- a/src/routing/leaf_tracker.h
+++ b/src/routing/leaf_tracker.h
@@ -14,8 +14,8 @@
 // look worse than it is but never leave a collection without a usable leaf.
 //
 // A leaf whose address has been taken over by another leaf gets no more
-// requests, however bad the other leaves are: a request would reach a leaf
-// whose load nobody accounts for it. Each leaf here is one process start, so a
+// requests, however bad the other leaves are: they would reach the new leaf but
+// not be counted as its load. Each leaf here is one process start, so a
 // replacement is final. A single probe request is still sent now and then, in
 // case the leaf was marked as replaced by mistake.
 //
--- a/src/routing/leaf_windows.h
+++ b/src/routing/leaf_windows.h
@@ -36,7 +36,7 @@
     // Used only by RandomReplicaPolicy, which has no limit and bypasses the
     // window.
     int unlimited_in_flight = 0;
-    // The cold start that the window has already been told of.
+    // The cold start that the window has already been adapted to.
     base::MonotonicTime cold_since;
   };
 
