--- a/src/blackboard/blackboard.h
+++ b/src/blackboard/blackboard.h
@@ -18,7 +18,7 @@
   // Written by targets::TargetsController. The revision never decreases.
   Cell<TargetsView> targets;
   Cell<RoutesView> routes;
-  // Written by daemon::StoreControllers: the position up to which it is known.
+  // Written by daemon::StoreControllers: how far the store's changes are known.
   Cell<store::Position> store;
   // Written by quarantine::VerdictController.
   Cell<QuarantineView> quarantine;
