--- a/src/admission/extra_send_budget.cc
+++ b/src/admission/extra_send_budget.cc
@@ -1,4 +1,4 @@
-// What requests earned, the slack, and how the bound is shared out.
+// Earned budget, slack bucket, and the division of the bound among daemons.
 
 #include "src/admission/extra_send_budget.h"
 
@@ -9,23 +9,26 @@
 
 namespace {
 
-// What is earned is lost after a quarter of the window. Any window then sees no
-// more than what the requests of five quarters earned, so four fifths of the
-// share may be planned with.
+// Earned sends expire after a quarter of the window. The sends in any window
+// are then earned by the requests of at most five quarters, so four fifths of
+// the share can be granted.
 constexpr double kPlannedShare = 0.8;
-constexpr int kWindowPart = 4;
-// Of the slack: what may be saved up, and what comes back in any window. Their
-// sum leaves 0.2 for daemons that count one another differently.
-constexpr double kSavedSlack = 0.4;
-constexpr double kReturnedSlack = 0.4;
-// Of a full bucket, what a daemon starts with.
-constexpr double kFirstPart = 0.15;
-// The time is kept in so many cells. A request counts for one cell less than
-// the time and a send for one cell more, so that nothing is spent twice.
+constexpr int kWindowDivisor = 4;
+// Parts of the slack: the bucket capacity, and the refill in any window. Their
+// sum leaves 0.2 as a margin for daemons with different views of the number of
+// daemons.
+constexpr double kBurstSlack = 0.4;
+constexpr double kRefilledSlack = 0.4;
+// Initial fill of the bucket as a part of its capacity.
+constexpr double kInitialFill = 0.15;
+// Number of cells that `earned_for` is divided into. A request counts for one
+// cell less than that time and a send for one cell more, so that nothing is
+// spent twice.
 constexpr std::int64_t kCells = 10;
-// What the aggregators together get; the rest is for entries whose aggregators
-// fail, each of which can use one connection and one extra send at least.
-constexpr double kAggregatorsPart = 0.6;
+// The part of all aggregators together. The rest is for the other daemons in
+// case their aggregators fail; each of them can use at least one connection and
+// one extra send.
+constexpr double kAggregatorsShare = 0.6;
 
 double SecondsOf(base::Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -35,7 +38,7 @@
 
 ExtraSendBudget::ExtraSendBudget(const ExtraSendLimits& limits,
                                  base::MonotonicTime now)
-    : limits_(limits), refilled_(now), slack_(kFirstPart * limits.burst) {}
+    : limits_(limits), refilled_(now), slack_(kInitialFill * limits.burst) {}
 
 std::optional<Allowance> ExtraSendBudget::Take(base::MonotonicTime now) {
   if (Earned(now) >= 1.0) {
@@ -56,7 +59,7 @@
 
 void ExtraSendBudget::set_limits(const ExtraSendLimits& limits) {
   if (limits.earned_for != limits_.earned_for) {
-    // The cells are parts of that time.
+    // The length of a cell depends on `earned_for`.
     cells_.clear();
   }
   limits_ = limits;
@@ -96,20 +99,20 @@
 }
 
 double PartOf(const Senders& senders) {
-  const int entries = senders.daemons - senders.aggregators;
-  if (senders.aggregators == 0 || entries <= 0) {
+  const int others = senders.daemons - senders.aggregators;
+  if (senders.aggregators == 0 || others <= 0) {
     return 1.0 / std::max(1, senders.daemons);
   }
-  return senders.is_aggregator ? kAggregatorsPart / senders.aggregators
-                               : (1.0 - kAggregatorsPart) / entries;
+  return senders.is_aggregator ? kAggregatorsShare / senders.aggregators
+                               : (1.0 - kAggregatorsShare) / others;
 }
 
 ExtraSendLimits PlanExtraSends(const ExtraSendBound& bound, double part) {
   const double slack = bound.slack * part;
-  // A bucket that never holds a whole send would never give one out.
-  return {kPlannedShare * bound.share, bound.window / kWindowPart,
-          std::max(1.0, kSavedSlack * slack),
-          kReturnedSlack * slack / SecondsOf(bound.window)};
+  // A bucket with a capacity below one send would never permit any.
+  return {kPlannedShare * bound.share, bound.window / kWindowDivisor,
+          std::max(1.0, kBurstSlack * slack),
+          kRefilledSlack * slack / SecondsOf(bound.window)};
 }
 
 }  // namespace medlarspread::admission
--- a/src/routing/leaf_pace.cc
+++ b/src/routing/leaf_pace.cc
@@ -1,4 +1,4 @@
-// Growth by addition, shrinking by multiplication.
+// Additive increase and multiplicative decrease of the window.
 
 #include "src/routing/leaf_pace.h"
 
@@ -8,19 +8,20 @@
 
 namespace {
 
-// A leaf at which one request in four is late although it is alone there keeps
-// a window of about one.
-constexpr double kGrowth = 0.1;
-constexpr double kShrinking = 0.7;
-// Late replies come in groups, since they waited in one queue or for one pause.
-constexpr base::Duration kShrinkingPause = base::Milliseconds(50);
-// It takes seven late moments in a row to narrow that to one. A pause of a leaf
-// makes three or four.
-constexpr double kFirstWindow = 16.0;
-// A leaf that answers nothing in time is still tried now and then, this often
-// at the least: it may be at its speed again.
-constexpr double kNarrowest = 0.05;
-constexpr base::Duration kLongestGap = base::Milliseconds(4'000);
+// With these two, a leaf that is late for one in four requests even when it
+// serves only one at a time settles at a window of about one.
+constexpr double kIncrease = 0.1;
+constexpr double kDecreaseFactor = 0.7;
+// Late replies come in bursts, because they waited in the same queue or for the
+// same pause of the leaf. Each burst reduces the window only once.
+constexpr base::Duration kMinDecreaseInterval = base::Milliseconds(50);
+// Seven reductions in a row take this window to about one request. A single
+// pause of a leaf causes three or four.
+constexpr double kInitialWindow = 16.0;
+// A leaf that answers nothing in time is still probed at least this often,
+// because it may have recovered.
+constexpr double kMinWindow = 0.05;
+constexpr base::Duration kMaxSendInterval = base::Milliseconds(4'000);
 
 }  // namespace
 
@@ -31,23 +32,24 @@
   if (*window_ >= 1.0) {
     return static_cast<double>(in_flight + 1) <= *window_;
   }
-  const base::Duration gap(static_cast<std::int64_t>(
-      static_cast<double>(last_time_.count()) / *window_));
-  return in_flight == 0 && now - sent_ >= std::min(gap, kLongestGap);
+  const base::Duration interval(static_cast<std::int64_t>(
+      static_cast<double>(last_duration_.count()) / *window_));
+  return in_flight == 0 &&
+         now - last_send_ >= std::min(interval, kMaxSendInterval);
 }
 
 void LeafPace::DidEnd(bool is_in_time,
                       base::Duration time,
                       std::size_t in_flight,
                       base::MonotonicTime now) {
-  last_time_ = time;
+  last_duration_ = time;
   if (is_in_time) {
     DidEndInTime();
-  } else if (now - shrunk_ >= kShrinkingPause) {
+  } else if (now - last_decrease_ >= kMinDecreaseInterval) {
     const double before = window_.value_or(
-        std::max(kFirstWindow, static_cast<double>(in_flight + 1)));
-    window_ = std::max(kNarrowest, before * kShrinking);
-    shrunk_ = now;
+        std::max(kInitialWindow, static_cast<double>(in_flight + 1)));
+    window_ = std::max(kMinWindow, before * kDecreaseFactor);
+    last_decrease_ = now;
   }
 }
 
@@ -55,8 +57,8 @@
   if (!window_) {
     return;
   }
-  *window_ += kGrowth;
-  if (*window_ >= kFirstWindow) {
+  *window_ += kIncrease;
+  if (*window_ >= kInitialWindow) {
     window_.reset();
   }
 }
--- a/src/routing/leaf_tracker.cc
+++ b/src/routing/leaf_tracker.cc
@@ -1,4 +1,4 @@
-// The estimates behind the choice of a leaf.
+// Estimates of reply times and failure rates, and the choice of a leaf.
 
 #include "src/routing/leaf_tracker.h"
 
@@ -14,90 +14,96 @@
 using blackboard::UpstreamState;
 using upstream::LeafOutcome;
 
-// Microseconds, until replies have shown it: a reply from another failure
-// domain of the region and from another region.
-constexpr double kFirstDistanceInRegion = 1'000.0;
-constexpr double kFirstDistanceToRegion = 20'000.0;
-constexpr double kFirstTypical = 10'000.0;
-// The fastest reply of a domain is forgotten at this rate per reply, so that a
-// link that has become slower is noticed after some hundred replies.
+// In microseconds, used until measured: the extra time of a reply from another
+// failure domain of the region and from another region.
+constexpr double kInitialDistanceInRegion = 1'000.0;
+constexpr double kInitialDistanceToRegion = 20'000.0;
+constexpr double kInitialTypical = 10'000.0;
+// The fastest reply of a domain is raised by this factor per reply, so that a
+// link that has become slower is noticed after a few hundred replies.
 constexpr double kFastestDrift = 1.002;
 constexpr double kTypicalWeight = 0.05;
-constexpr double kAloneWeight = 0.02;
+constexpr double kUnloadedWeight = 0.02;
 constexpr double kSlownessWeight = 0.5;
-// The most that one reply can say: a leaf that paused once is back at its
-// speed, and only a row of slow replies must send requests to another region.
-constexpr double kHighestSlowness = 4.0;
-// A leaf that was slow is tried again about so many microseconds later.
-constexpr double kSlownessForgotten = 4'000'000.0;
-// A leaf works about 1.6 times as long in the seconds after its start.
+// Bounds the effect of a single reply: a leaf that paused once is back to its
+// usual speed, and only several slow replies in a row should divert requests to
+// another region.
+constexpr double kMaxSlowness = 4.0;
+// Time constant in microseconds of the decay of a leaf's slowness, after which
+// the leaf is tried again.
+constexpr double kSlownessDecayTime = 4'000'000.0;
+// Requests take about 1.6 times as long in the first seconds after a leaf's
+// start.
 constexpr double kColdFactor = 1.6;
-// A request that is in work for this many times what is typical is overdue.
-constexpr double kPatience = 3.0;
-// Microseconds that keep a leaf out while there is any other.
+// A request is overdue after this many times its typical time.
+constexpr double kOverdueFactor = 3.0;
+// In microseconds; large enough that a penalized leaf is chosen only if no
+// other leaf is available.
 constexpr double kStalledPenalty = 60'000.0;
 constexpr double kFailingPenalty = 10'000'000.0;
-constexpr base::Duration kFirstStall = base::Milliseconds(60);
-constexpr int kMostStallDoublings = 3;
-constexpr base::Duration kFirstAvoidance = base::Milliseconds(150);
-constexpr int kMostAvoidanceDoublings = 4;
-// How often all requests together ask a leaf whose address another one has
-// taken over. Its entry goes when its lease ends, so this serves only a leaf
-// that was said to be replaced by mistake.
-constexpr base::Duration kReplacedInterval = base::Milliseconds(30'000);
-// How much one reply counts in a leaf's share of failures, and after how many
-// microseconds about a third of the share is left.
+constexpr base::Duration kInitialStallTime = base::Milliseconds(60);
+constexpr int kMaxStallDoublings = 3;
+constexpr base::Duration kInitialAvoidanceTime = base::Milliseconds(150);
+constexpr int kMaxAvoidanceDoublings = 4;
+// Interval of the probe requests to a leaf whose address another leaf has taken
+// over. The leaf's entry disappears when its lease ends, so the probes only
+// serve leaves that were marked as replaced by mistake.
+constexpr base::Duration kReplacedProbeInterval = base::Milliseconds(30'000);
+// Weight of one reply in a leaf's failure share, and the time constant in
+// microseconds of its decay: about a third of the share is left after that.
 constexpr double kFailureWeight = 0.3;
-constexpr double kFailureForgotten = 3'000'000.0;
-// What a failed send costs, as a multiple of the latency target. Sending again
-// takes time and, when many fail, more than the budget of extra sends holds:
-// then the shard is missing. So a leaf that is farther away but sound is better
-// for as long as its reply is in time. Nothing makes up for a failure that
-// can't be repeated.
+constexpr double kFailureDecayTime = 3'000'000.0;
+// Cost of a failed send as a multiple of the latency target. A retry takes time
+// and, if many sends fail, exceeds the budget of extra sends, so that the shard
+// is missing from the answer. A healthy leaf farther away is therefore
+// preferred as long as its reply is in time. The cost is higher for requests
+// that must not be repeated, because their failure is final.
 constexpr double kFailureCost = 1.0;
-constexpr double kFinalFailureCost = 3.0;
-// A leaf is told of to others if fewer replies than this came from it within
-// about so many microseconds: with more, a daemon finds out by itself, and so
-// do the others that are as busy.
-constexpr double kSeldomReplies = 3.0;
-constexpr double kRepliesForgotten = 3'000'000.0;
-// What a reply that another daemon tells of counts beside one of its own: it
-// may be some tenths of a second old, and is as good or bad as that daemon's
-// figures. One failure that is heard of still outweighs the way to another
-// region. With it 93 of 1,618 requests to a single collection were late where
-// 617 were, while half of its leaves were eight times as slow, and 57 failed
-// where 110 did, while most of them lost one answer in twelve (195 daemons of
-// which each sends one request in eight seconds; virtual fleet).
-constexpr double kHeardPart = 0.5;
-// Replies in one report beyond this say nothing more.
-constexpr int kMostHeard = 20;
-// Classes and reports beyond these are not a daemon's.
-constexpr std::size_t kMostClasses = 10'000;
-constexpr std::size_t kMostReports = 64;
-// Microseconds that a leaf takes to accept a connection, beside the way there
-// and back.
+constexpr double kUnrepeatableFailureCost = 3.0;
+// Replies from a leaf are reported to other daemons only while this daemon gets
+// at most kMaxRepliesToReport of them in about kRepliesDecayTime microseconds.
+// With more replies it can judge the leaf by itself, and so can other daemons
+// that are as busy.
+constexpr double kMaxRepliesToReport = 3.0;
+constexpr double kRepliesDecayTime = 3'000'000.0;
+// Weight of a reply reported by another daemon relative to an own one. A
+// reported reply may be some tenths of a second old and depends on that
+// daemon's estimates. One reported failure still outweighs the distance to
+// another region. Effect of the reports in the virtual fleet (195 daemons, each
+// sending one request every eight seconds to a single collection): with half of
+// the leaves eight times slower, 93 instead of 617 of 1,618 requests were late;
+// with most leaves losing one answer in twelve, 57 instead of 110 failed.
+constexpr double kReportedReplyWeight = 0.5;
+// Replies in one report beyond this number are ignored.
+constexpr int kMaxRepliesPerReport = 20;
+// Memory bounds; no regular daemon has more classes or sends more reports.
+constexpr std::size_t kMaxClasses = 10'000;
+constexpr std::size_t kMaxReports = 64;
+// Time in microseconds that a leaf takes to accept a connection, without the
+// network round trip.
 constexpr double kConnectCost = 6'000.0;
 
 // In microseconds.
-double FailureCost(const LeafNeed& need) {
-  return (need.is_repeatable ? kFailureCost : kFinalFailureCost) *
-         static_cast<double>(need.target.count());
+double FailureCost(const LeafRequirements& requirements) {
+  return (requirements.is_repeatable ? kFailureCost
+                                     : kUnrepeatableFailureCost) *
+         static_cast<double>(requirements.target.count());
 }
 
 }  // namespace
 
-LeafTracker::LeafTracker(Place place,
+LeafTracker::LeafTracker(DaemonLocation location,
                          base::Clock clock,
                          std::shared_ptr<base::Random> random,
                          base::Ablation ablation)
-    : place_(std::move(place)),
+    : location_(std::move(location)),
       clock_(std::move(clock)),
       random_(std::move(random)),
       ablation_(ablation) {}
 
 const blackboard::Upstream* LeafTracker::Choose(
     const LeafIndex::Leaves& leaves,
-    const LeafNeed& need,
+    const LeafRequirements& requirements,
     const MayUse& may_use,
     const ReadinessOf& readiness_of) {
   const base::MonotonicTime now = clock_.Now();
@@ -106,19 +112,21 @@
   for (const blackboard::Upstream* leaf : leaves) {
     if (leaf->state == UpstreamState::kDraining ||
         leaf->state == UpstreamState::kUnreachable || !may_use(*leaf) ||
-        MustNotSend(*leaf, now)) {
+        IsBlockedAsReplaced(*leaf, now)) {
       continue;
     }
-    if (need.is_optional && ablation_.has(Mechanism::kLeafPace) &&
-        !IsInTime(*leaf, now)) {
+    if (requirements.is_optional && ablation_.has(Mechanism::kLeafPace) &&
+        !WouldAnswerInTime(*leaf, now)) {
       continue;
     }
     const upstream::Readiness readiness = readiness_of(*leaf);
     if (readiness == upstream::Readiness::kFull) {
       continue;
     }
-    // Jitter of up to a tenth spreads the daemons over leaves that look alike.
-    double time = Expect(*leaf, need, now) * (1.0 + 0.1 * random_->Unit());
+    // Jitter of up to 10% spreads the daemons over leaves with similar
+    // estimates.
+    double time = ExpectedReplyTime(*leaf, requirements, now) *
+                  (1.0 + 0.1 * random_->Unit());
     if (readiness == upstream::Readiness::kMustConnect &&
         ablation_.has(Mechanism::kConnectCost)) {
       time += kConnectCost + Distance(*leaf);
@@ -141,11 +149,12 @@
   return delay + base::Duration(static_cast<std::int64_t>(Distance(leaf)));
 }
 
-base::Duration LeafTracker::WorkAlone(const std::string& class_name) const {
+base::Duration LeafTracker::UnloadedServiceTime(
+    const std::string& class_name) const {
   const auto row = work_.find(class_name);
   return row == work_.end()
              ? base::Duration{}
-             : base::Duration(static_cast<std::int64_t>(row->second.alone));
+             : base::Duration(static_cast<std::int64_t>(row->second.unloaded));
 }
 
 void LeafTracker::DidSend(const blackboard::Upstream& leaf,
@@ -153,8 +162,8 @@
   Row& row = rows_[leaf.name];
   row.in_flight.insert(now);
   row.pace.DidSend(now);
-  if (row.ask_again_at) {
-    row.ask_again_at = now + kReplacedInterval;
+  if (row.probe_at) {
+    row.probe_at = now + kReplacedProbeInterval;
   }
 }
 
@@ -172,15 +181,15 @@
   }
   const bool is_failure = reply.outcome != LeafOutcome::kAnswered;
   LearnFailures(row, is_failure ? 1.0 : 0.0, kFailureWeight, 1, clock_.Now());
-  Note(leaf, class_name, is_failure, reply.service_time);
+  RecordForReport(leaf, class_name, is_failure, reply.service_time);
   switch (reply.outcome) {
     case LeafOutcome::kAnswered:
       row.failures_in_a_row = 0;
       row.stalls_in_a_row = 0;
       row.avoid_until = {};
       row.stalled_until = {};
-      row.ask_again_at.reset();
-      Learn(leaf, class_name, reply.service_time);
+      row.probe_at.reset();
+      LearnFromAnswer(leaf, class_name, reply.service_time);
       return;
     case LeafOutcome::kShed:
     case LeafOutcome::kCold:
@@ -193,7 +202,7 @@
       DidFail(row, reply.retry_after);
       return;
     case LeafOutcome::kReplaced:
-      row.ask_again_at = clock_.Now() + kReplacedInterval;
+      row.probe_at = clock_.Now() + kReplacedProbeInterval;
       return;
     case LeafOutcome::kTimeout:
       DidStall(leaf, class_name, reply.service_time);
@@ -237,11 +246,11 @@
 void LeafTracker::DidStall(const blackboard::Upstream& leaf,
                            const std::string& class_name,
                            base::Duration age) {
-  Note(leaf, class_name, false, age);
+  RecordForReport(leaf, class_name, false, age);
   Row& row = rows_[leaf.name];
-  const int doublings = std::min(row.stalls_in_a_row, kMostStallDoublings);
+  const int doublings = std::min(row.stalls_in_a_row, kMaxStallDoublings);
   ++row.stalls_in_a_row;
-  row.stalled_until = clock_.Now() + kFirstStall * (1 << doublings);
+  row.stalled_until = clock_.Now() + kInitialStallTime * (1 << doublings);
 }
 
 void LeafTracker::Prune(const blackboard::UpstreamsView& view) {
@@ -252,27 +261,27 @@
 
 bool LeafTracker::is_replaced(const blackboard::Upstream& leaf) const {
   const auto row = rows_.find(leaf.name);
-  return row != rows_.end() && row->second.ask_again_at.has_value();
+  return row != rows_.end() && row->second.probe_at.has_value();
 }
 
-bool LeafTracker::MustNotSend(const blackboard::Upstream& leaf,
-                              base::MonotonicTime now) const {
+bool LeafTracker::IsBlockedAsReplaced(const blackboard::Upstream& leaf,
+                                      base::MonotonicTime now) const {
   const auto row = rows_.find(leaf.name);
-  return row != rows_.end() && row->second.ask_again_at &&
-         now < *row->second.ask_again_at;
+  return row != rows_.end() && row->second.probe_at &&
+         now < *row->second.probe_at;
 }
 
-bool LeafTracker::IsInTime(const blackboard::Upstream& leaf,
-                           base::MonotonicTime now) const {
+bool LeafTracker::WouldAnswerInTime(const blackboard::Upstream& leaf,
+                                    base::MonotonicTime now) const {
   const auto row = rows_.find(leaf.name);
   return row == rows_.end() ||
          row->second.pace.MaySend(row->second.in_flight.size(), now);
 }
 
-double LeafTracker::Expect(const blackboard::Upstream& leaf,
-                           const LeafNeed& need,
-                           base::MonotonicTime now) const {
-  const double typical = TypicalOf(need.class_name);
+double LeafTracker::ExpectedReplyTime(const blackboard::Upstream& leaf,
+                                      const LeafRequirements& requirements,
+                                      base::MonotonicTime now) const {
+  const double typical = TypicalOf(requirements.class_name);
   double time = Distance(leaf);
   const bool is_cold = leaf.state == UpstreamState::kCold &&
                        ablation_.has(Mechanism::kColdStarts);
@@ -283,7 +292,7 @@
   }
   const Row& state = row->second;
   work *= Slowness(state, now);
-  time += FailureShare(state, now) * FailureCost(need);
+  time += FailureShare(state, now) * FailureCost(requirements);
   const double in_flight = ablation_.has(Mechanism::kInFlight)
                                ? static_cast<double>(state.in_flight.size())
                                : 0.0;
@@ -291,9 +300,9 @@
   const bool counts_stalls = ablation_.has(Mechanism::kStalls);
   if (counts_stalls && !state.in_flight.empty()) {
     const base::Duration age = now - *state.in_flight.begin();
-    const auto patience = base::Duration(
-        static_cast<std::int64_t>(kPatience * typical + Distance(leaf)));
-    if (age > patience) {
+    const auto overdue_after = base::Duration(
+        static_cast<std::int64_t>(kOverdueFactor * typical + Distance(leaf)));
+    if (age > overdue_after) {
       time += std::max(kStalledPenalty, static_cast<double>(age.count()));
     }
   }
@@ -307,16 +316,16 @@
 }
 
 double LeafTracker::Distance(const blackboard::Upstream& leaf) const {
-  if (leaf.failure_domain == place_.failure_domain) {
+  if (leaf.failure_domain == location_.failure_domain) {
     return 0.0;
   }
-  const auto here = fastest_.find(place_.failure_domain);
+  const auto here = fastest_.find(location_.failure_domain);
   const auto there = fastest_.find(leaf.failure_domain);
   if (here != fastest_.end() && there != fastest_.end()) {
     return std::max(0.0, there->second - here->second);
   }
-  return leaf.region == place_.region ? kFirstDistanceInRegion
-                                      : kFirstDistanceToRegion;
+  return leaf.region == location_.region ? kInitialDistanceInRegion
+                                         : kInitialDistanceToRegion;
 }
 
 double LeafTracker::FailureShare(const Row& row,
@@ -325,7 +334,7 @@
     return 0.0;
   }
   const auto age = static_cast<double>((now - row.failure_share_at).count());
-  return row.failure_share * std::exp(-age / kFailureForgotten);
+  return row.failure_share * std::exp(-age / kFailureDecayTime);
 }
 
 void LeafTracker::LearnFailures(Row& row,
@@ -344,7 +353,7 @@
                                 double weight,
                                 base::MonotonicTime now) const {
   const double known = Slowness(row, now);
-  const double bounded = std::min(kHighestSlowness, ratio);
+  const double bounded = std::min(kMaxSlowness, ratio);
   row.slowness = std::max(1.0, known + weight * (bounded - known));
   row.slowness_at = now;
 }
@@ -353,25 +362,25 @@
   if (work.typical == 0.0) {
     work.typical = time;
   }
-  // Stragglers must not raise what counts as typical.
+  // Bounded so that stragglers don't raise the typical time.
   const double bounded = std::min(time, 3.0 * work.typical);
   work.typical += kTypicalWeight * (bounded - work.typical);
 }
 
-void LeafTracker::Note(const blackboard::Upstream& leaf,
-                       const std::string& class_name,
-                       bool is_failure,
-                       base::Duration time) {
+void LeafTracker::RecordForReport(const blackboard::Upstream& leaf,
+                                  const std::string& class_name,
+                                  bool is_failure,
+                                  base::Duration time) {
   Row& row = rows_[leaf.name];
   const base::MonotonicTime now = clock_.Now();
   const auto age = static_cast<double>((now - row.recent_replies_at).count());
   row.recent_replies =
-      1.0 + row.recent_replies * std::exp(-age / kRepliesForgotten);
+      1.0 + row.recent_replies * std::exp(-age / kRepliesDecayTime);
   row.recent_replies_at = now;
   const auto key = std::pair(leaf.name, class_name);
-  const bool has_place =
-      reports_.size() < kMostReports || reports_.contains(key);
-  if (row.recent_replies > kSeldomReplies || !has_place ||
+  const bool has_capacity =
+      reports_.size() < kMaxReports || reports_.contains(key);
+  if (row.recent_replies > kMaxRepliesToReport || !has_capacity ||
       !ablation_.has(Mechanism::kSharedReports)) {
     return;
   }
@@ -401,14 +410,14 @@
 void LeafTracker::DidHear(const LeafReport& report) {
   const bool is_known = work_.contains(report.class_name);
   if (!ablation_.has(Mechanism::kSharedReports) ||
-      (!is_known && work_.size() >= kMostClasses)) {
+      (!is_known && work_.size() >= kMaxClasses)) {
     return;
   }
   const base::MonotonicTime now = clock_.Now();
   Row& row = rows_[report.leaf];
   LearnFailures(row, static_cast<double>(report.failures) / report.replies,
-                kHeardPart * kFailureWeight,
-                std::min(kMostHeard, report.replies), now);
+                kReportedReplyWeight * kFailureWeight,
+                std::min(kMaxRepliesPerReport, report.replies), now);
   if (report.replies == report.failures) {
     return;
   }
@@ -416,7 +425,8 @@
   const auto time = static_cast<double>(report.work.count());
   work.second_sends.DidReply(report.work);
   LearnTypical(work, time);
-  LearnSlowness(row, time / work.typical, kHeardPart * kSlownessWeight, now);
+  LearnSlowness(row, time / work.typical,
+                kReportedReplyWeight * kSlownessWeight, now);
 }
 
 double LeafTracker::Slowness(const Row& row, base::MonotonicTime now) const {
@@ -424,18 +434,18 @@
     return 1.0;
   }
   const auto age = static_cast<double>((now - row.slowness_at).count());
-  return 1.0 + (row.slowness - 1.0) * std::exp(-age / kSlownessForgotten);
+  return 1.0 + (row.slowness - 1.0) * std::exp(-age / kSlownessDecayTime);
 }
 
 double LeafTracker::TypicalOf(const std::string& class_name) const {
   const auto row = work_.find(class_name);
-  return row == work_.end() || row->second.typical == 0.0 ? kFirstTypical
+  return row == work_.end() || row->second.typical == 0.0 ? kInitialTypical
                                                           : row->second.typical;
 }
 
-void LeafTracker::Learn(const blackboard::Upstream& leaf,
-                        const std::string& class_name,
-                        base::Duration time) {
+void LeafTracker::LearnFromAnswer(const blackboard::Upstream& leaf,
+                                  const std::string& class_name,
+                                  base::Duration time) {
   const auto total = static_cast<double>(time.count());
   const auto [fastest, is_new] =
       fastest_.try_emplace(leaf.failure_domain, total);
@@ -448,18 +458,18 @@
   LearnTypical(work, own);
   Row& row = rows_[leaf.name];
   if (row.in_flight.empty()) {
-    const double alone = work.alone == 0.0 ? own : work.alone;
-    work.alone = alone + kAloneWeight * (std::min(own, 3.0 * alone) - alone);
+    const double unloaded = work.unloaded == 0.0 ? own : work.unloaded;
+    work.unloaded =
+        unloaded + kUnloadedWeight * (std::min(own, 3.0 * unloaded) - unloaded);
   }
   LearnSlowness(row, own / work.typical, kSlownessWeight, clock_.Now());
 }
 
 void LeafTracker::DidFail(Row& row, base::Duration retry_after) {
-  const int doublings =
-      std::min(row.failures_in_a_row, kMostAvoidanceDoublings);
+  const int doublings = std::min(row.failures_in_a_row, kMaxAvoidanceDoublings);
   ++row.failures_in_a_row;
   const base::Duration pause =
-      std::max(retry_after, kFirstAvoidance * (1 << doublings));
+      std::max(retry_after, kInitialAvoidanceTime * (1 << doublings));
   const auto jitter = static_cast<std::int64_t>(
       random_->Unit() * 0.5 * static_cast<double>(pause.count()));
   row.avoid_until = clock_.Now() + pause + base::Duration(jitter);
--- a/src/routing/leaf_windows.cc
+++ b/src/routing/leaf_windows.cc
@@ -1,4 +1,4 @@
-// A mutex around the windows of all leaves.
+// Map of the leaves' windows that is guarded by a mutex.
 
 #include "src/routing/leaf_windows.h"
 
@@ -27,11 +27,12 @@
     NoteColdStart(upstream, found->second);
     return found->second;
   }
-  const int places =
-      std::max(1, std::min({InFlightLimit(policy_, upstream),
-                            upstream.slots + kInPipe, upstream.connections}));
-  Row row{admission::LeafWindow(places, std::max(1, upstream.connections)), 0,
-          base::MonotonicTime{}};
+  const int max_in_flight = std::max(
+      1, std::min({InFlightLimit(policy_, upstream),
+                   upstream.slots + kPipelinedRequests, upstream.connections}));
+  Row row{
+      admission::LeafWindow(max_in_flight, std::max(1, upstream.connections)),
+      0, base::MonotonicTime{}};
   NoteColdStart(upstream, row);
   return rows_.emplace(upstream.name, std::move(row)).first->second;
 }
@@ -69,13 +70,13 @@
   }
   row.window.Release();
   const base::MonotonicTime now = clock_.Now();
-  // Only answers and refusals tell about the leaf's load: a lost connection
-  // that fails at once must not pass for a fast leaf.
+  // Only answers and refusals indicate the leaf's load: a connection that fails
+  // immediately must not be taken for a fast reply.
   if (reply.outcome == upstream::LeafOutcome::kAnswered || IsShed(reply)) {
     row.window.DidReply(reply.service_time, IsShed(reply), now);
   }
   if (IsShed(reply)) {
-    row.window.DidAskToWait(reply.retry_after, now);
+    row.window.PauseFor(reply.retry_after, now);
   }
 }
 
--- a/src/routing/replica_pool.cc
+++ b/src/routing/replica_pool.cc
@@ -1,4 +1,4 @@
-// Choice of replicas by room and share of places taken.
+// Chooses replicas by free capacity and utilization.
 
 #include "src/routing/replica_pool.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Small beside one place of any leaf, so that it only decides ties.
+// Smaller than the share of one slot of any leaf, so that it only decides ties.
 constexpr double kTieBreak = 0.01;
 
 }  // namespace
@@ -74,7 +74,7 @@
   return best;
 }
 
-std::vector<const blackboard::Upstream*> ReplicaPool::UsableOf(
+std::vector<const blackboard::Upstream*> ReplicaPool::UsableReplicas(
     const ShardKey& shard) {
   std::vector<const blackboard::Upstream*> usable;
   for (const auto* replica : Index().ReplicasOf(shard)) {
@@ -85,8 +85,8 @@
   return usable;
 }
 
-void ReplicaPool::CountPlaces(const ShardKey& shard, ShardLoad& load) {
-  for (const auto* replica : UsableOf(shard)) {
+void ReplicaPool::AddInFlight(const ShardKey& shard, ShardLoad& load) {
+  for (const auto* replica : UsableReplicas(shard)) {
     load.running += windows_->in_flight(*replica);
     load.slots += windows_->limit(*replica);
   }
--- a/src/routing/shard_load_estimator.cc
+++ b/src/routing/shard_load_estimator.cc
@@ -1,4 +1,5 @@
-// Estimates from the running mean of service times and the queue's order.
+// Estimates the wait from the running means of service times and the order of
+// the queue.
 
 #include "src/routing/shard_load_estimator.h"
 
@@ -13,8 +14,9 @@
 using base::Duration;
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-// Behind every queued request that is due at the same time.
-constexpr std::uint64_t kNewcomer = std::numeric_limits<std::uint64_t>::max();
+// Sorts a new request behind all queued requests that are due at the same time.
+constexpr std::uint64_t kLastInOrder =
+    std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace
 
@@ -45,13 +47,14 @@
   const ShardKey shard{request.snapshot, request.range};
   ShardLoad load;
   load.queued = static_cast<int>(queues_.queued(shard));
-  replicas_.CountPlaces(shard, load);
-  const auto replicas = replicas_.UsableOf(shard);
+  replicas_.AddInFlight(shard, load);
+  const auto replicas = replicas_.UsableReplicas(shard);
   if (!HasEntryGate(policy_) || replicas.empty()) {
     return load;
   }
-  // Each replica completes requests at its own pace. The fastest decides how
-  // much longer than elsewhere an answer takes once it has a place.
+  // Each replica completes requests at its own rate. The smallest excess over
+  // the typical service time determines how much longer than elsewhere a
+  // request takes once it is sent.
   double completions_per_second = 0.0;
   std::optional<Duration> least_excess;
   for (const auto* replica : replicas) {
@@ -72,8 +75,8 @@
   const int busy = std::max(0, load.running - load.slots + 1);
   const auto targets = blackboard_.targets.Read();
   const auto row = targets->classes.find(request.class_name);
-  const admission::QueueItem newcomer{
-      .id = kNewcomer,
+  const admission::QueueItem new_item{
+      .id = kLastInOrder,
       .class_name = request.class_name,
       .target_due = row == targets->classes.end()
                         ? request.target_due
@@ -83,7 +86,7 @@
   const Duration until_free(static_cast<std::int64_t>(
       busy * kMicrosecondsPerSecond / completions_per_second));
   return until_free + queues_.ExpectedWait({request.snapshot, request.range},
-                                           newcomer, completions_per_second);
+                                           new_item, completions_per_second);
 }
 
 }  // namespace medlarspread::routing
--- a/src/routing/sub_query_server.cc
+++ b/src/routing/sub_query_server.cc
@@ -1,4 +1,4 @@
-// Bookkeeping of the sub-queries accepted from other daemons.
+// Tracks accepted sub-queries and drops duplicates.
 
 #include "src/routing/sub_query_server.h"
 
@@ -8,9 +8,10 @@
 
 namespace {
 
-// When another owner is likely to have taken over from a stopping daemon.
-constexpr base::Duration kTakeOver = base::Milliseconds(100);
-constexpr std::size_t kRemembered = 65536;
+// Time after which another owner has probably taken over from a stopping
+// daemon.
+constexpr base::Duration kTakeoverDelay = base::Milliseconds(100);
+constexpr std::size_t kMaxRemembered = 65536;
 
 }  // namespace
 
@@ -49,13 +50,13 @@
   if (!is_at_most_once) {
     return true;
   }
-  if (!remembered_.insert(key).second) {
+  if (!seen_at_most_once_.insert(key).second) {
     return false;
   }
-  remembered_order_.push_back(key);
-  if (remembered_order_.size() > kRemembered) {
-    remembered_.erase(remembered_order_.front());
-    remembered_order_.pop_front();
+  seen_order_.push_back(key);
+  if (seen_order_.size() > kMaxRemembered) {
+    seen_at_most_once_.erase(seen_order_.front());
+    seen_order_.pop_front();
   }
   return true;
 }
@@ -63,8 +64,9 @@
 void SubQueryServer::Accept(const Key& key, ShardRequest request) {
   const auto dispatcher = dispatchers_->Of(request.collection);
   const blackboard::KeyRange range = request.range;
-  // The lock is held over Submit(), so that the job is on record before its
-  // result, which always comes later on the dispatcher's own sequence.
+  // The lock is held during Submit(), so that the job is recorded before its
+  // result arrives. The result is always delivered later, on the dispatcher's
+  // sequence.
   const std::lock_guard lock(mutex_);
   Accepted& accepted = accepted_[key];
   accepted.dispatcher = dispatcher;
@@ -80,15 +82,15 @@
   result.error =
       base::MakeError(base::ErrorCode::kStopping, base::Step::kForward, "",
                       "daemon is stopping");
-  result.retry_after = kTakeOver;
+  result.retry_after = kTakeoverDelay;
   (void)peers_.send(key.first, ToWire(key.second, request, result));
 }
 
 void SubQueryServer::DidFinish(const Key& key,
                                const ShardRequest& request,
                                const ShardResult& result) {
-  // A reply that can't be sent leaves the asker with an unknown outcome, which
-  // it finds out through its own timer or the loss of the link.
+  // If the reply can't be sent, the requesting daemon treats the outcome as
+  // unknown once its own timer expires or it notices the loss of the link.
   (void)peers_.send(key.first, ToWire(key.second, request, result));
   const std::lock_guard lock(mutex_);
   const auto row = accepted_.find(key);
--- a/tests/admission/backlog_gate_test.cc
+++ b/tests/admission/backlog_gate_test.cc
@@ -1,4 +1,4 @@
-// Which requests are let in, and what goodput follows from it.
+// Tests which requests are admitted, and the resulting goodput under overload.
 
 #include "src/admission/backlog_gate.h"
 
@@ -15,84 +15,84 @@
 using base::MonotonicTime;
 
 constexpr ExpectedWork kUrgent{Milliseconds(8), Milliseconds(84), 0};
-constexpr ExpectedWork kLater{Milliseconds(8), Milliseconds(84), 2};
+constexpr ExpectedWork kLessUrgent{Milliseconds(8), Milliseconds(84), 2};
 
-// How many requests of one kind are let in at once.
-int CountEntering(const ExpectedWork& work, double slots) {
+// How many requests of one kind are admitted at the same time.
+int CountAdmitted(const ExpectedWork& work, double slots) {
   BacklogGate gate;
-  constexpr int kMost = 1'000;
-  int entered = 0;
-  while (entered < kMost && gate.MayEnter(work, slots, {})) {
-    gate.DidEnter(static_cast<std::uint64_t>(entered++), work, {});
+  constexpr int kMaxRequests = 1'000;
+  int admitted = 0;
+  while (admitted < kMaxRequests && gate.MayAdmit(work, slots, {})) {
+    gate.DidAdmit(static_cast<std::uint64_t>(admitted++), work, {});
   }
-  return entered;
+  return admitted;
 }
 
-TEST(BacklogGateTest, MoreSlotsLetMoreIn) {
-  const int one = CountEntering(kUrgent, 1.0);
+TEST(BacklogGateTest, MoreSlotsAdmitMore) {
+  const int one = CountAdmitted(kUrgent, 1.0);
   EXPECT_GE(one, 4 * 76 / 8);
   EXPECT_LE(one, 4 * 76 / 8 + 1);
-  EXPECT_GE(CountEntering(kUrgent, 2.0), 2 * one - 2);
+  EXPECT_GE(CountAdmitted(kUrgent, 2.0), 2 * one - 2);
 }
 
-TEST(BacklogGateTest, TheFirstRequestAlwaysEnters) {
-  EXPECT_EQ(CountEntering(kUrgent, 0.0), 1);
+TEST(BacklogGateTest, TheFirstRequestIsAlwaysAdmitted) {
+  EXPECT_EQ(CountAdmitted(kUrgent, 0.0), 1);
 }
 
-TEST(BacklogGateTest, LessUrgentRequestsGiveWayFirst) {
-  EXPECT_LT(CountEntering(kLater, 1.0), CountEntering(kUrgent, 1.0));
+TEST(BacklogGateTest, LessUrgentRequestsAreRefusedFirst) {
+  EXPECT_LT(CountAdmitted(kLessUrgent, 1.0), CountAdmitted(kUrgent, 1.0));
   BacklogGate gate;
   std::uint64_t id = 0;
-  while (gate.MayEnter(kLater, 1.0, {})) {
-    gate.DidEnter(id++, kLater, {});
+  while (gate.MayAdmit(kLessUrgent, 1.0, {})) {
+    gate.DidAdmit(id++, kLessUrgent, {});
   }
-  EXPECT_TRUE(gate.MayEnter(kUrgent, 1.0, {}));
+  EXPECT_TRUE(gate.MayAdmit(kUrgent, 1.0, {}));
 }
 
-TEST(BacklogGateTest, UnknownWorkIsLetIn) {
-  EXPECT_EQ(CountEntering({{}, Milliseconds(84), 0}, 1.0), 1'000);
+TEST(BacklogGateTest, UnknownServiceTimeIsAdmitted) {
+  EXPECT_EQ(CountAdmitted({{}, Milliseconds(84), 0}, 1.0), 1'000);
 }
 
-TEST(BacklogGateTest, WhatIsAnsweredMakesRoom) {
+TEST(BacklogGateTest, FinishedRequestsReduceTheBacklog) {
   BacklogGate gate;
   std::uint64_t id = 0;
-  while (gate.MayEnter(kUrgent, 1.0, {})) {
-    gate.DidEnter(id++, kUrgent, {});
+  while (gate.MayAdmit(kUrgent, 1.0, {})) {
+    gate.DidAdmit(id++, kUrgent, {});
   }
-  gate.DidLeave(0);
-  EXPECT_TRUE(gate.MayEnter(kUrgent, 1.0, {}));
-  gate.DidLeave(0);
-  gate.DidEnter(id, kUrgent, {});
-  EXPECT_FALSE(gate.MayEnter(kUrgent, 1.0, {}));
+  gate.DidFinish(0);
+  EXPECT_TRUE(gate.MayAdmit(kUrgent, 1.0, {}));
+  gate.DidFinish(0);
+  gate.DidAdmit(id, kUrgent, {});
+  EXPECT_FALSE(gate.MayAdmit(kUrgent, 1.0, {}));
 }
 
 TEST(BacklogGateTest, RequestsPastTheirTargetDoNotCount) {
   BacklogGate gate;
   std::uint64_t id = 0;
-  while (gate.MayEnter(kUrgent, 1.0, {})) {
-    gate.DidEnter(id++, kUrgent, {});
+  while (gate.MayAdmit(kUrgent, 1.0, {})) {
+    gate.DidAdmit(id++, kUrgent, {});
   }
   const MonotonicTime later = MonotonicTime{} + Milliseconds(84);
-  EXPECT_EQ(gate.WaitAt(1.0, later), base::Duration{});
-  EXPECT_TRUE(gate.MayEnter(kUrgent, 1.0, later));
+  EXPECT_EQ(gate.ExpectedWait(1.0, later), base::Duration{});
+  EXPECT_TRUE(gate.MayAdmit(kUrgent, 1.0, later));
 }
 
-// Lets requests in until one is turned away; returns how many entered.
+// Admits requests until one is refused; returns the number admitted.
 int Fill(BacklogGate& gate, MonotonicTime now) {
-  int entered = 0;
-  for (; gate.MayEnter(kUrgent, 1.0, now); ++entered) {
-    gate.DidEnter(static_cast<std::uint64_t>(entered), kUrgent, now);
+  int admitted = 0;
+  for (; gate.MayAdmit(kUrgent, 1.0, now); ++admitted) {
+    gate.DidAdmit(static_cast<std::uint64_t>(admitted), kUrgent, now);
   }
-  return entered;
+  return admitted;
 }
 
-void Empty(BacklogGate& gate, int entered) {
-  for (int id = 0; id < entered; ++id) {
-    gate.DidLeave(static_cast<std::uint64_t>(id));
+void Empty(BacklogGate& gate, int admitted) {
+  for (int id = 0; id < admitted; ++id) {
+    gate.DidFinish(static_cast<std::uint64_t>(id));
   }
 }
 
-TEST(BacklogGateTest, FailuresNarrowItAndTimeWidensIt) {
+TEST(BacklogGateTest, FailuresReduceTheLimitAndTimeRestoresIt) {
   BacklogGate gate;
   MonotonicTime now = MonotonicTime{} + Milliseconds(60'000);
   const int widest = Fill(gate, now);
@@ -115,19 +115,19 @@
   EXPECT_EQ(Fill(gate, now + Milliseconds(20'000)), widest);
 }
 
-TEST(BacklogGateTest, RefusalsWithLittleAheadHaveAnotherCause) {
+TEST(BacklogGateTest, RefusalsWithASmallBacklogAreNotOverload) {
   BacklogGate gate;
   const MonotonicTime now = MonotonicTime{} + Milliseconds(60'000);
-  gate.DidEnter(0, kUrgent, now);
+  gate.DidAdmit(0, kUrgent, now);
   gate.DidOverload(kUrgent, 1.0, now);
-  gate.DidLeave(0);
+  gate.DidFinish(0);
   BacklogGate fresh;
   EXPECT_EQ(Fill(gate, now), Fill(fresh, now));
 }
 
-// A leaf of one slot with a short queue that refuses beyond it, under a steady
-// load, in steps of a millisecond. Returns the requests answered within their
-// target in ten seconds.
+// Simulates ten shards, each a leaf with one slot and a short queue that
+// refuses requests when full, under a steady load in steps of a millisecond.
+// Returns the number of requests answered in time within ten seconds.
 int GoodputAt(double load, bool has_gate) {
   constexpr int kSteps = 10'000;
   constexpr int kWork = 8;
@@ -149,13 +149,13 @@
     const MonotonicTime now = MonotonicTime{} + Milliseconds(step);
     for (due += load / kWork; due >= 1.0; due -= 1.0) {
       const std::uint64_t id = requests.size();
-      if (has_gate && !gate.MayEnter(kUrgent, 1.0, now)) {
+      if (has_gate && !gate.MayAdmit(kUrgent, 1.0, now)) {
         continue;
       }
-      gate.DidEnter(id, kUrgent, now);
+      gate.DidAdmit(id, kUrgent, now);
       requests.push_back({step, 0, 0, id});
       for (int shard = 0; shard < kShards; ++shard) {
-        // Shards do not refuse the same requests: each has its own moment.
+        // Varies the queue limit, so that shards refuse different requests.
         const bool is_full = queues[shard].size() + (id + shard) % 3 >= kQueue;
         if (is_full) {
           ++requests.back().refused;
@@ -173,7 +173,7 @@
       busy_until[shard] = step + kWork;
       ++request.served;
       if (request.served + request.refused == kShards) {
-        gate.DidLeave(request.id);
+        gate.DidFinish(request.id);
         const bool is_in_time = step + kWork - request.arrived <= 84 * 3 / 2;
         good += request.refused <= 1 && is_in_time ? 1 : 0;
         if (request.refused > 1) {
--- a/tests/admission/leaf_window_test.cc
+++ b/tests/admission/leaf_window_test.cc
@@ -1,4 +1,4 @@
-// The limit follows what the leaf's replies say.
+// Tests that the limit adapts to the leaf's replies.
 
 #include "src/admission/leaf_window.h"
 
@@ -29,7 +29,7 @@
   window.DidReply({}, true, kStart);
   EXPECT_EQ(window.limit(), 2);
   EXPECT_FALSE(window.TryAcquire(kStart));
-  window.DidAskToWait(Milliseconds(30), kStart);
+  window.PauseFor(Milliseconds(30), kStart);
   EXPECT_FALSE(window.has_room(kStart + Milliseconds(29)));
   EXPECT_EQ(window.not_before(), kStart + Milliseconds(30));
   EXPECT_TRUE(window.TryAcquire(kStart + Milliseconds(30)));
@@ -67,8 +67,8 @@
   }
 }
 
-// Medians of few samples differ by chance; that is no sign of waiting. With
-// batches of 16 this cost a fifth of the slots.
+// Medians of few samples vary by chance, which must not be taken for queueing.
+// Batches of 16 samples cost a fifth of the slots.
 TEST(LeafWindowTest, SpreadOfServiceTimesDoesNotReduce) {
   constexpr std::uint64_t kSeed = 11;
   std::mt19937_64 engine(kSeed);
@@ -85,7 +85,7 @@
   EXPECT_LT(reduced, kReplies / 100) << "seed " << kSeed;
 }
 
-TEST(LeafWindowTest, ColdLeafGetsPausesThatShrink) {
+TEST(LeafWindowTest, ColdLeafGetsDecreasingPauses) {
   LeafWindow window(2, 25);
   window.set_cold_since(kStart);
   EXPECT_EQ(window.limit(), 1);
--- a/tests/admission/urgency_queue_test.cc
+++ b/tests/admission/urgency_queue_test.cc
@@ -1,4 +1,4 @@
-// The order of the queue, its removal and its expiry.
+// Tests the order of the queue, and the removal and expiry of items.
 
 #include "src/admission/urgency_queue.h"
 
@@ -50,7 +50,7 @@
   EXPECT_EQ(Pop(20), 1u);
 }
 
-TEST_F(UrgencyQueueTest, BurningClassGoesForward) {
+TEST_F(UrgencyQueueTest, ClassThatBurnsItsBudgetMovesForward) {
   blackboard::TargetsView targets;
   targets.classes["desk"].latency = Milliseconds(100);
   targets.classes["site"].latency = Milliseconds(100);
@@ -64,8 +64,8 @@
   EXPECT_EQ(Pop(), 3u);
 }
 
-// Three items, each of which another order would put first.
-TEST_F(UrgencyQueueTest, EachOrderPutsItsOwnFirst) {
+// Three items; each order puts a different one first.
+TEST_F(UrgencyQueueTest, EachOrderPutsADifferentItemFirst) {
   blackboard::TargetsView targets;
   targets.classes["counter"].latency = Milliseconds(100);
   targets.classes["audit"].latency = Milliseconds(3000);
@@ -111,7 +111,7 @@
   EXPECT_EQ(queue_.size(), 1u);
 }
 
-TEST_F(UrgencyQueueTest, ExpectedWaitCountsWhatIsAhead) {
+TEST_F(UrgencyQueueTest, ExpectedWaitCountsItemsAhead) {
   for (std::uint64_t id = 1; id <= 10; ++id) {
     queue_.Push(Item(id, "desk", static_cast<std::int64_t>(id) * 10));
   }
@@ -119,8 +119,8 @@
   EXPECT_EQ(queue_.ExpectedWait(Item(11, "site", 5), 1000.0), Milliseconds(0));
 }
 
-// Nothing is ahead of the newcomer, but its class gets one slot in ten.
-TEST_F(UrgencyQueueTest, ExpectedWaitKnowsTheShareOfTheClass) {
+// No item is ahead of the new one, but its class gets only one slot in ten.
+TEST_F(UrgencyQueueTest, ExpectedWaitUsesTheShareOfTheClass) {
   for (std::uint64_t id = 1; id <= 9; ++id) {
     queue_.Push(Item(id, "desk", 10));
   }
--- a/tests/routing/aggregator_choice_test.cc
+++ b/tests/routing/aggregator_choice_test.cc
@@ -1,4 +1,4 @@
-// Who fans out for whom.
+// Tests which daemons fan out requests on behalf of others.
 
 #include "src/routing/aggregator_choice.h"
 
@@ -59,14 +59,14 @@
   UpstreamsView upstreams_;
 };
 
-TEST_F(AggregatorChoiceTest, EqualDaemonsBesideTheLeavesFanOutThemselves) {
+TEST_F(AggregatorChoiceTest, EqualDaemonsNearTheLeavesFanOutThemselves) {
   AddDaemon("x", "n1", 0.25);
   AddDaemon("y", "n1", 0.25);
   const AggregatorChoice choice = ChooseFor("x");
   ASSERT_EQ(choice.parts.size(), 1U);
   EXPECT_EQ(choice.parts[0].shards, shards_);
   EXPECT_TRUE(choice.parts[0].peers.empty());
-  // All are alike.
+  // All daemons are equal.
   EXPECT_TRUE(choice.senders.empty());
 }
 
@@ -106,7 +106,7 @@
   EXPECT_EQ(FirstPeer(choice.parts[0]), "large1");
   EXPECT_EQ(choice.parts[1].shards, (std::vector<std::string>{"b", "d"}));
   EXPECT_EQ(FirstPeer(choice.parts[1]), "large2");
-  // An aggregator keeps its own part and hands the other over.
+  // An aggregator keeps its own part and hands over the other.
   const AggregatorChoice own = ChooseFor("large1");
   EXPECT_TRUE(own.parts[0].peers.empty());
   EXPECT_EQ(FirstPeer(own.parts[1]), "large2");
@@ -124,7 +124,7 @@
   EXPECT_EQ(choice.parts[0].shards.size(), 4U);
 }
 
-TEST_F(AggregatorChoiceTest, WhoeverSendsToAShardHasAShareOfIt) {
+TEST_F(AggregatorChoiceTest, EverySenderToAShardSharesItsBudget) {
   // Region n has lost its leaf of the shard.
   upstreams_.upstreams.erase("dn1");
   AddDaemon("large", "n1", 0.5);
@@ -159,13 +159,13 @@
   }
   for (int index = 0; index < 40; ++index) {
     const AggregatorChoice choice = ChooseFor("small" + std::to_string(index));
-    ASSERT_EQ(choice.parts[0].peers.size(), kMostAggregatorsUsed);
+    ASSERT_EQ(choice.parts[0].peers.size(), kMaxAggregatorsUsed);
     first.insert(FirstPeer(choice.parts[0]));
   }
   EXPECT_GE(first.size(), 6U);
 }
 
-TEST_F(AggregatorChoiceTest, WithoutLeavesInTheRegionEverybodyFansOut) {
+TEST_F(AggregatorChoiceTest, WithoutLeavesInTheRegionEveryDaemonFansOut) {
   for (auto& [name, leaf] : upstreams_.upstreams) {
     if (leaf.failure_domain == "n1") {
       leaf.state = blackboard::UpstreamState::kDraining;
@@ -185,7 +185,7 @@
   EXPECT_TRUE(ChooseFor("small").parts[0].peers.empty());
 }
 
-TEST_F(AggregatorChoiceTest, BeforeAnyMemberIsKnownEverythingIsDoneHere) {
+TEST_F(AggregatorChoiceTest, WithoutKnownMembersTheDaemonFansOutItself) {
   const AggregatorChoice choice = ChooseFor("x");
   ASSERT_EQ(choice.parts.size(), 1U);
   EXPECT_EQ(choice.parts[0].shards, shards_);
--- a/tests/routing/dispatcher_test.cc
+++ b/tests/routing/dispatcher_test.cc
@@ -1,5 +1,5 @@
-// Queueing, limits, second sends, retries and truthful outcomes of one
-// collection's shards, driven by hand.
+// Tests queueing, in-flight limits, second sends, retries and outcomes of the
+// shard requests of one collection, with manual time and simulated leaves.
 
 #include "src/routing/dispatcher.h"
 
@@ -19,7 +19,8 @@
 using testing_support::RoutingWorld;
 using upstream::LeafOutcome;
 
-// With the one in the pipe, each leaf takes two requests at once.
+// With one slot and one pipelined request, each leaf takes two requests at
+// once.
 constexpr int kSlots = 1;
 
 class DispatcherTest : public testing::Test {
@@ -44,7 +45,7 @@
     return request;
   }
 
-  // Submits and returns where the result will appear.
+  // Submits a request and returns the place where its result is stored.
   std::shared_ptr<std::optional<ShardResult>> Submit(ShardRequest request) {
     auto slot = std::make_shared<std::optional<ShardResult>>();
     dispatcher_->Submit(std::move(request), [slot](ShardResult result) {
@@ -55,8 +56,8 @@
     return slot;
   }
 
-  // Lets the second-send policy see enough replies of 5 ms to have a delay.
-  void TeachServiceTime() {
+  // Produces enough replies of 5 ms for the second-send policy to have a delay.
+  void RecordServiceTimes() {
     for (int i = 0; i < 200; ++i) {
       const auto result = Submit(MakeRequest());
       world_.scheduler->Advance(Milliseconds(5));
@@ -75,7 +76,7 @@
   for (int i = 0; i < 10; ++i) {
     Submit(MakeRequest());
   }
-  // Two leaves of one slot each, and one request in the pipe to each.
+  // Two leaves with one slot and one pipelined request each.
   EXPECT_EQ(world_.sends.size(), 4U);
   EXPECT_EQ(dispatcher_->queued(), 6);
   world_.Answer(0);
@@ -93,7 +94,7 @@
 }
 
 TEST_F(DispatcherTest, SecondSendWinsAndLoserIsCancelled) {
-  TeachServiceTime();
+  RecordServiceTimes();
   const auto result = Submit(MakeRequest());
   ASSERT_EQ(world_.sends.size(), 1U);
   world_.scheduler->Advance(Milliseconds(60));
@@ -104,12 +105,12 @@
   EXPECT_EQ((*result)->sends, 2);
   EXPECT_EQ(world_.cancelled_attempts,
             std::vector<std::string>{world_.sends[0].request.attempt_id});
-  // The straggler's answer comes late and changes nothing.
+  // The straggler's late answer has no effect.
   world_.Answer(0);
 }
 
 TEST_F(DispatcherTest, SecondSendGoesToAnotherRegionWithoutLocalReplica) {
-  TeachServiceTime();
+  RecordServiceTimes();
   world_.SetLeafState("leaf-2", UpstreamState::kDraining);
   world_.has_other_region = true;
   const auto result = Submit(MakeRequest());
@@ -128,7 +129,7 @@
 }
 
 TEST_F(DispatcherTest, AtMostOnceIsNeverSentAgain) {
-  TeachServiceTime();
+  RecordServiceTimes();
   for (const LeafOutcome failure :
        {LeafOutcome::kTimeout, LeafOutcome::kLost, LeafOutcome::kMismatch}) {
     world_.sends.clear();
@@ -145,7 +146,7 @@
   }
 }
 
-TEST_F(DispatcherTest, AtMostOnceGoesElsewhereAfterACertainRefusal) {
+TEST_F(DispatcherTest, AtMostOnceIsRetriedAfterACertainRefusal) {
   ShardRequest request = MakeRequest();
   request.is_at_most_once = true;
   const auto result = Submit(request);
@@ -227,7 +228,7 @@
   EXPECT_EQ(world_.cancelled_attempts.size(), world_.sends.size());
 }
 
-TEST_F(DispatcherTest, ShedLeafIsAskedAgainOnlyAfterItsTime) {
+TEST_F(DispatcherTest, ShedRequestIsRetriedOnlyAfterRetryAfter) {
   world_.SetLeafState("leaf-2", UpstreamState::kUnreachable);
   const auto result = Submit(MakeRequest());
   world_.Fail(0, LeafOutcome::kShed, Milliseconds(20));
@@ -241,7 +242,7 @@
   EXPECT_EQ((*result)->outcome, ShardOutcome::kAnswered);
 }
 
-TEST_F(DispatcherTest, ShedWithoutOtherReplicaSaysWhenToComeBack) {
+TEST_F(DispatcherTest, ShedWithoutOtherReplicaReportsRetryAfter) {
   world_.SetLeafState("leaf-2", UpstreamState::kUnreachable);
   ShardRequest request = MakeRequest();
   request.deadline = world_.clock.Now() + Milliseconds(20);
@@ -257,14 +258,14 @@
   const auto result = Submit(MakeRequest());
   world_.Fail(0, LeafOutcome::kLost);
   ASSERT_EQ(world_.sends.size(), 2U);
-  // No time is left to ask again, but the first leaf may have run it.
+  // No time is left for a retry, but the first leaf may have run the request.
   world_.Fail(1, LeafOutcome::kShed, Milliseconds(600));
   ASSERT_TRUE(result->has_value());
   EXPECT_EQ((*result)->outcome, ShardOutcome::kUnknown);
 }
 
 TEST_F(DispatcherTest, ASecondSendElsewhereThatMayHaveRunIsUnknown) {
-  TeachServiceTime();
+  RecordServiceTimes();
   world_.SetLeafState("leaf-2", UpstreamState::kDraining);
   world_.has_other_region = true;
   const auto result = Submit(MakeRequest());
--- a/tests/routing/leaf_windows_test.cc
+++ b/tests/routing/leaf_windows_test.cc
@@ -1,4 +1,4 @@
-// What the windows of the leaves learn from replies.
+// Tests how replies change the in-flight limits of leaves.
 
 #include "src/routing/leaf_windows.h"
 
@@ -34,8 +34,8 @@
   blackboard::Upstream leaf_;
 };
 
-// Connections that are refused at once must not pass for fast answers, next to
-// which the usual ones look slow.
+// Connections that are refused immediately must not count as fast answers,
+// since normal answers would look slow in comparison.
 TEST_F(LeafWindowsTest, FailuresAreNotServiceTimes) {
   for (int i = 0; i < 200; ++i) {
     Exchange(LeafOutcome::kUnreachable, 0);
@@ -46,7 +46,7 @@
   EXPECT_EQ(windows_.limit(leaf_), 3);
 }
 
-TEST_F(LeafWindowsTest, SheddingLeafIsLeftAloneAsLongAsItAsks) {
+TEST_F(LeafWindowsTest, SheddingLeafIsAvoidedUntilRetryAfter) {
   Exchange(LeafOutcome::kShed, 0);
   EXPECT_FALSE(windows_.has_room(leaf_));
   time_->Advance(Milliseconds(39));
--- a/tests/routing/sub_query_client_test.cc
+++ b/tests/routing/sub_query_client_test.cc
@@ -1,4 +1,5 @@
-// Replies are matched by what they say they answer; others are dropped.
+// Tests that replies are matched to their sub-queries and that other replies
+// are dropped.
 
 #include "src/routing/sub_query_client.h"
 
@@ -76,7 +77,7 @@
   EXPECT_EQ(results_[0].second.outcome, ShardOutcome::kAnswered);
 }
 
-TEST_F(SubQueryClientTest, DropsCrossedReplies) {
+TEST_F(SubQueryClientTest, DropsMismatchedReplies) {
   const auto id = Send("vm-b");
   auto other_request = MakeReply(id);
   other_request.request_id = "r2";
@@ -124,7 +125,7 @@
 TEST_F(SubQueryClientTest, NoticesASilentPeer) {
   Send("vm-b");
   EXPECT_FALSE(client_->is_silent("vm-b"));
-  world_.scheduler->Advance(SubQueryClient::kSilence);
+  world_.scheduler->Advance(SubQueryClient::kSilenceTimeout);
   EXPECT_TRUE(client_->is_silent("vm-b"));
   client_->DidHearFrom("vm-b");
   EXPECT_FALSE(client_->is_silent("vm-b"));
