--- a/src/query/answer_builder.cc
+++ b/src/query/answer_builder.cc
@@ -1,4 +1,4 @@
-// Merging of items and exact counting of coverage.
+// Merges items and computes coverage exactly.
 
 #include "src/query/answer_builder.h"
 
@@ -46,7 +46,7 @@
   Coverage coverage;
   coverage.shards_answered = shards_answered();
   coverage.shards_total = shards_total_;
-  // The sum is over integers, so that a full answer is exactly 1.
+  // Summed as integers, so that a complete answer is exactly 1.
   std::int32_t covered = 0;
   std::int32_t position = 0;
   for (const auto& [range, items] : parts_) {
--- a/src/query/answer_builder.h
+++ b/src/query/answer_builder.h
@@ -1,4 +1,4 @@
-// Puts the shards' answers of one snapshot together and counts what they cover.
+// Merges the shards' answers for one snapshot and computes their coverage.
 
 #ifndef MEDLARSPREAD_QUERY_ANSWER_BUILDER_H_
 #define MEDLARSPREAD_QUERY_ANSWER_BUILDER_H_
@@ -13,11 +13,11 @@
 
 class AnswerBuilder {
  public:
-  // `shards_total` shards were to be asked for `snapshot`.
+  // `shards_total` is the number of shards that the query asks for `snapshot`.
   AnswerBuilder(blackboard::Snapshot snapshot, int shards_total);
 
-  // Adds the answer of one shard, a JSON array as text. An answer for a range
-  // that is there already, in whole or in part, is left out: returns false.
+  // Adds the answer of one shard, a JSON array as text. Returns false, and
+  // drops the answer, if its range overlaps one that was added before.
   bool Add(const blackboard::KeyRange& range, std::string items);
 
   const blackboard::Snapshot& snapshot() const { return snapshot_; }
--- a/src/query/answer_outcome.cc
+++ b/src/query/answer_outcome.cc
@@ -1,4 +1,4 @@
-// One visitor over the three answers.
+// Visits the three kinds of answer.
 
 #include "src/query/answer_outcome.h"
 
--- a/src/query/answer_outcome.h
+++ b/src/query/answer_outcome.h
@@ -1,4 +1,4 @@
-// What the burn report counts of an answer.
+// Converts an answer to the outcome that the burn report counts.
 
 #ifndef MEDLARSPREAD_QUERY_ANSWER_OUTCOME_H_
 #define MEDLARSPREAD_QUERY_ANSWER_OUTCOME_H_
--- a/src/query/caller_answer.h
+++ b/src/query/caller_answer.h
@@ -1,5 +1,5 @@
-// The final answer to one request of a caller. There are three: answered,
-// refused (certainly not run) and unknown (may have run).
+// The final answer to a caller's request. It is one of three: answered, refused
+// (certainly not executed) or unknown (may have been executed).
 
 #ifndef MEDLARSPREAD_QUERY_CALLER_ANSWER_H_
 #define MEDLARSPREAD_QUERY_CALLER_ANSWER_H_
@@ -39,29 +39,31 @@
   std::string items = "[]";
 };
 
-// Decides the status of the answer, so that callers can tell a refusal of
-// their own excess from a system that can't serve anybody for now.
+// Determines the HTTP status, so that callers can tell that they send too much
+// (429) from a system that cannot serve anybody at present (503).
 enum class RefusalKind {
-  // 429: the system is up, but has no room for this request in time.
+  // 429: the system is up, but has no capacity to answer this request in time.
   kOverload,
-  // 503: stopping, not ready, or what the request needs can't be reached.
+  // 503: the daemon is stopping or not ready, or a required component cannot be
+  // reached.
   kUnavailable,
-  // 503: it ended the leaves that ran it, and reaches none any more.
+  // 503: leaf processes crashed while executing this request, so it is no
+  // longer sent to any leaf.
   kQuarantined,
 };
 
-// The request was not run, and will not be run.
+// The request was not executed and will not be.
 struct Refused {
   std::string request_id;
   base::Error error;
-  // When to submit the request again at the earliest.
+  // The earliest time at which the caller should retry.
   base::Duration retry_after{};
   RefusalKind kind = RefusalKind::kUnavailable;
-  // Leaves got the request, and each of them rejected it.
+  // The request was sent to leaves, and each of them rejected it.
   bool did_reach_leaves = false;
 };
 
-// The request may have run; its result can't be told.
+// The request may have been executed; its result is not known.
 struct Unknown {
   std::string request_id;
   base::Error error;
@@ -71,8 +73,8 @@
 
 using AnswerCallback = std::function<void(CallerAnswer)>;
 
-// Starts the work on one request. Calls back once, from any traffic thread, at
-// the latest shortly after the request's deadline.
+// Starts processing a request. The callback runs once, on any traffic thread,
+// shortly after the request's deadline at the latest.
 using SubmitRequest = std::function<void(CallerRequest, AnswerCallback)>;
 
 }  // namespace medlarspread::query
--- a/src/query/caller_request.h
+++ b/src/query/caller_request.h
@@ -1,4 +1,4 @@
-// One request of a caller, parsed and checked, as the query sessions take it.
+// A caller's request, parsed and validated.
 
 #ifndef MEDLARSPREAD_QUERY_CALLER_REQUEST_H_
 #define MEDLARSPREAD_QUERY_CALLER_REQUEST_H_
@@ -10,16 +10,16 @@
 namespace medlarspread::query {
 
 struct CallerRequest {
-  // "<milliseconds since 1970>-<8 to 64 letters and digits>". The caller keeps
-  // it when it submits the same request again.
+  // "<milliseconds since 1970>-<8 to 64 letters and digits>". The caller uses
+  // the same identifier when it retries a request.
   std::string request_id;
-  // A class that had targets when the request was parsed.
+  // A class for which targets were configured when the request was parsed.
   std::string class_name;
   // Time left for the whole answer, counted from the arrival of the request.
   base::Duration deadline{};
-  // A request that is not idempotent runs at most once.
+  // A request that is not idempotent is executed at most once.
   bool is_idempotent = false;
-  // The caller's query as JSON text, passed to the upstreams unread.
+  // The caller's query as JSON text; passed to the upstreams without parsing.
   std::string query;
 
   friend bool operator==(const CallerRequest&, const CallerRequest&) = default;
--- a/src/query/fan_out_log.cc
+++ b/src/query/fan_out_log.cc
@@ -1,5 +1,5 @@
-// What the log says of a fanned-out request: its answer, with the shards that
-// are missing and the sends that were repeats, and leaves that were replaced.
+// Log messages of a fanned-out request: its answer, with the missing shards and
+// the repeated sends, and leaves that were replaced.
 
 #include "src/query/fan_out_session.h"
 
@@ -9,7 +9,7 @@
 
 using base::Step;
 
-// A line of the log names no more repeats than this.
+// The maximum number of repeated sends listed in one log line.
 constexpr int kMostNamedRepeats = 8;
 
 }  // namespace
--- a/src/query/fan_out_sends.cc
+++ b/src/query/fan_out_sends.cc
@@ -1,5 +1,5 @@
-// The sends of fan_out_session.h: to which leaf, when again, and what waits for
-// room.
+// The sending part of FanOutSession: selection of leaves, retries, second sends
+// and waiting for capacity.
 
 #include "src/query/fan_out_session.h"
 
@@ -20,37 +20,41 @@
 using base::Step;
 using upstream::ForwardReply;
 
-// A leaf stops at its deadline; its answer must still reach the caller.
+// A leaf's deadline is this much earlier than the caller's, so that an answer
+// at the leaf's deadline still reaches the caller in time.
 constexpr base::Duration kReplyMargin = Milliseconds(4);
-// A request waits for a leaf with room for this part of its latency target:
-// after that the caller does better to come back.
+// A shard waits for a leaf with capacity for at most the latency target divided
+// by this; after that, a retry by the caller is more likely to succeed.
 constexpr int kWaitShare = 5;
-// A request to all shards waits for room at enough of them for this part of its
-// latency target: a caller that is told then can come back and still be
-// answered in time. If it were sent to those that have room, and failed for
-// want of the others, their leaves had worked for nothing. In a burst of four
-// times the usual requests 0.866 of the credit is earned with it where 0.797
-// was (virtual fleet).
+// A request to all shards waits until enough shards have a leaf with capacity
+// for at most the latency target divided by this, so that a refused caller can
+// retry and still be answered in time. Sending it at once to the shards with
+// capacity would waste their leaves' work if it then failed for lack of the
+// others. In a burst of four times the usual request rate, 0.866 of the credit
+// is earned with this wait, against 0.797 without it (virtual fleet).
 constexpr int kHoldShare = 8;
-// Until the times of a class are known, a second send follows after this part
-// of its latency target.
+// Until response times of a class have been measured, a second send follows
+// after its latency target divided by this.
 constexpr int kFirstDelayShare = 3;
-// Until a shard has answered, so many others are sent to a second leaf when
-// they are overdue; once one has, all that are. Where none answers the request
-// may be ending its leaves, which shows only when the first connection breaks:
-// by then each shard would have lost two. And where the leaves near by are all
-// late, the first answer from elsewhere shows it, one round trip later.
+// The maximum number of overdue shards that are sent to a second leaf before
+// any shard has answered; once one has, all overdue shards are. If none
+// answers, the request may be crashing its leaves, which is noticed only when
+// the first connection breaks: by then each shard would have lost two leaves.
+// If the nearby leaves are merely all slow, the first answer from elsewhere
+// shows it one round trip later.
 constexpr int kSecondSendsBeforeAnswer = 2;
-// How often it is looked whether one has.
+// How often a session whose second sends are limited checks for an answer.
 constexpr base::Duration kAnswerInterval = Milliseconds(5);
-// A connection for a second send is opened after this part of its delay. To
-// another region it takes 22 ms to open, as long as the delay itself.
+// A connection for a second send is opened after this percentage of its delay.
+// A connection to another region takes 22 ms to open, as long as the delay
+// itself.
 constexpr int kPreparePercent = 55;
-// A leaf that refused for want of room is asked again after the time that a
-// request takes there: its slots turn over in about as much. Until that is
-// known, and at the most, this part of the latency target.
+// A leaf that refused for lack of capacity is retried after the typical service
+// time of a request there, since its slots become free at about that rate.
+// Until that time is known, and at most, the pause is the latency target
+// divided by this.
 constexpr int kRefusalPauseShare = 12;
-// Sends of one shard, refused ones included.
+// The maximum number of sends of one shard, including refused ones.
 constexpr int kMostSends = 5;
 
 }  // namespace
@@ -69,8 +73,8 @@
   }
 }
 
-// NOTE: trials in the order of the route would all end leaves of its first
-// shards, at every daemon, until those have none left.
+// NOTE: if all daemons tried the shards in the route's order, the trials would
+// crash the leaves of the first shards until none is left.
 std::vector<FanOutShard*> FanOutSession::InOrderOfSends() {
   std::vector<Shard*> order;
   for (Shard& shard : shards_) {
@@ -143,7 +147,7 @@
 bool FanOutSession::is_extra(SendCause cause) const {
   switch (cause) {
     case SendCause::kFirst:
-      // Another daemon may have sent it before.
+      // Another daemon may have made the first send already.
       return request_.leaves_of_others > 0;
     case SendCause::kUnsent:
       return false;
@@ -239,8 +243,8 @@
   attempt->prepare = attempt->sent + delay * kPreparePercent / 100;
   attempt->overdue = attempt->sent + delay;
   attempt->is_trial = is_trying_;
-  // A request earns where its first send is made, and once: a part may come to
-  // several daemons, of which one sends it.
+  // A request is credited to the budget once, by the daemon that makes its
+  // first send: a part may be handed to several daemons, of which one sends it.
   if (cause == SendCause::kFirst && !paid &&
       !std::exchange(shard.has_earned, true)) {
     dependencies_->did_request(shard.collection);
--- a/src/query/fan_out_session.cc
+++ b/src/query/fan_out_session.cc
@@ -1,5 +1,5 @@
-// The steps of fan_out_session.h, but for the sends (fan_out_sends.cc) and what
-// the log says of them (fan_out_log.cc).
+// The steps of FanOutSession. The sends are in fan_out_sends.cc, the log
+// messages in fan_out_log.cc.
 
 #include "src/query/fan_out_session.h"
 
@@ -22,13 +22,13 @@
 using upstream::ForwardReply;
 using upstream::LeafOutcome;
 
-// How often a shard looks for a leaf with room.
+// How often a waiting shard checks for a leaf with capacity.
 constexpr base::Duration kRoomInterval = Milliseconds(5);
-// Leaves that broke off before any has answered. A request that ends leaves
-// reaches the first leaf of each shard before anybody can know; without a trial
-// it would reach the second ones as well, and all leaves of a shard that has
-// two would be gone. A request that meets one or two leaves that end for
-// another reason is not slowed down.
+// The number of connections that break before any answer after which the
+// request is sent to one leaf at a time. A request that crashes leaves reaches
+// the first leaf of each shard before that can be noticed; without trials it
+// would reach the second ones too, and a shard with two leaves would lose both.
+// A request that loses one or two leaves for another reason is not slowed down.
 constexpr int kLossesBeforeTrial = 3;
 
 bool IsCertainlyNotRun(LeafOutcome outcome) {
--- a/src/query/fan_out_session.h
+++ b/src/query/fan_out_session.h
@@ -1,31 +1,36 @@
-// One opaque request of a caller, from its arrival to its one answer.
+// Handles one opaque request of a caller, from its arrival to its single
+// answer.
 //
-// A request goes to one collection or to all shards of its route; both are the
-// same here, since one collection is one shard.
+// A request goes either to one collection or to all shards of its route. Both
+// cases are handled alike: one collection is treated as one shard.
 //
 // Steps:
-//   1. Each shard is sent to the leaf that should reply first. A request to all
-//      shards begins only once enough of them have a leaf with room; if that
-//      takes long, it is refused before anything was sent.
-//   2. A shard whose reply is overdue is sent to a second leaf, if the request
-//      is idempotent, the route's attempts allow it and the collection's
-//      budget pays for it. The first reply counts. Before any shard has
-//      answered, only a few are.
-//   3. A failed send is replaced by one to another leaf under the same
-//      conditions. A request that is not idempotent is sent again only if it
-//      certainly did not run.
-//   4. A request that is suspect, or under which some leaves broke off before
-//      any answered, is tried at one leaf at a time until one has answered. If
-//      a leaf breaks off under a trial, the request is given up.
-//   5. The answer goes out when every shard has settled; at the class's
-//      latency target if the coverage target is met by then; after that as
-//      soon as it is met; and at the deadline in any case. A part of a request
-//      (GatherSession) waits for all its shards until it is told otherwise.
+//   1. Each shard is sent to the leaf that is expected to reply first. A
+//      request to all shards starts only once enough of them have a leaf with
+//      capacity; if that takes too long, it is refused before anything is sent.
+//   2. A shard whose reply is overdue is sent to a second leaf (a hedged send),
+//      if the request is idempotent, the route's maximum of attempts allows it
+//      and the collection's budget of extra sends is not used up. The first
+//      reply is used. Until a shard has answered, only a few shards are hedged.
+//   3. A failed send is retried at another leaf under the same conditions. A
+//      request that is not idempotent is retried only if it certainly was not
+//      executed.
+//   4. If the request is a quarantine suspect, or if the connections to several
+//      leaves broke before any leaf answered, it is sent to one leaf at a time
+//      (a trial) until one has answered. If the connection breaks during a
+//      trial, the session gives up.
+//   5. The answer goes out when every shard has answered or failed; at the
+//      class's latency target if the coverage target is met by then; after that
+//      as soon as it is met; and at the deadline in any case. A part of a
+//      request (GatherSession) waits for all its shards until Relax() is
+//      called.
 //
-// Invariants: the caller is answered once; "refused" only if nothing was sent
-// that may have run; all shards of an answer are of the route's one revision.
+// Invariants: the caller is answered once; "refused" is answered only if
+// nothing was sent that may have been executed; all shards of an answer are of
+// the route's one revision.
 //
-// Runs on the traffic thread; keeps itself alive until the last send ended.
+// Runs on the traffic thread; the session keeps itself alive until the last
+// send has ended.
 
 #ifndef MEDLARSPREAD_QUERY_FAN_OUT_SESSION_H_
 #define MEDLARSPREAD_QUERY_FAN_OUT_SESSION_H_
@@ -48,10 +53,9 @@
 
 namespace medlarspread::query {
 
-// What a session is about to send may be cut by the deadline; less time than
-// this is not worth a send.
+// No send is started with less time than this left before the deadline.
 constexpr base::Duration kLeastTimeLeft = base::Milliseconds(2);
-// A caller comes back after this part of its latency target.
+// A refused caller is told to retry after its latency target divided by this.
 constexpr int kReturnShare = 4;
 
 struct FanOutDependencies {
@@ -59,16 +63,17 @@
   base::TaskRunner runner;
   upstream::ForwardPort leaves;
   std::shared_ptr<routing::LeafTracker> tracker;
-  // The leaves as they are known now; never null.
+  // The currently known leaves; never null.
   std::function<std::shared_ptr<const routing::LeafIndex>()> index;
-  // Takes a send beyond the first of a request to the collection from the
-  // budget; absent if it is used up.
+  // Charges the collection's budget for a send beyond the first of a request;
+  // absent if the budget is used up.
   std::function<std::optional<admission::Allowance>(
       const std::string& collection)>
       take_extra_send;
-  // Tells the budget of a request's first send to the collection.
+  // Credits the collection's budget for a request's first send to it.
   std::function<void(const std::string& collection)> did_request;
-  // A send beyond the first of its shard went out, and a send to a leaf ended.
+  // Called when a send beyond the first of its shard was started, and when a
+  // send to a leaf ended.
   std::function<void(const ShardAttempt&)> did_repeat;
   std::function<void(upstream::LeafOutcome)> did_end_send;
   std::shared_ptr<quarantine::Quarantine> quarantine;
@@ -76,14 +81,14 @@
   base::Ablation ablation = {};
 };
 
-// How a session went, for metrics and the log.
+// Statistics of a session, for metrics and the log.
 struct FanOutSummary {
   base::Duration latency{};
   int shards = 0;
   int answered = 0;
   int sends = 0;
   int extra_sends = 0;
-  // Sends that leaves refused for want of room.
+  // Sends that leaves refused for lack of capacity.
   int refusals = 0;
 };
 
@@ -98,67 +103,72 @@
                 Done done);
 
   void Start();
-  // Reports how many shards are missing now.
+  // Calls `report` with the number of shards that have not answered yet.
   void Check(const std::function<void(int missing)>& report) const {
     report(missing());
   }
-  // Answer as soon as no more than so many shards are missing.
+  // Allows an answer as soon as at most `most_missing` shards are missing.
   void Relax(int most_missing);
-  // Shards without an answer; never grows.
+  // The number of shards without an answer; never increases.
   int missing() const { return static_cast<int>(shards_.size()) - answered_; }
-  // Whether a leaf may have run the request. What has not left this daemon yet
-  // counts as not run: whoever relies on that cancels it.
+  // Whether a leaf may have executed the request. Sends that have not left this
+  // daemon yet count as not executed; a caller that relies on that must cancel
+  // them.
   bool may_have_run() const;
-  // The caller has left: everything is cancelled, and nobody is answered.
-  // False if the session had answered already.
+  // Called when the caller has disconnected: cancels everything without an
+  // answer. Returns false if the session had answered already.
   bool Abandon();
 
  private:
-  // Why nobody waits for a send any more: that its reply comes too late says
-  // something of the leaf.
+  // Why a send is cancelled; kTooLate is evidence that the leaf is slow.
   enum class CancelReason { kNotNeeded, kTooLate };
 
   using Attempt = ShardAttempt;
   using Shard = FanOutShard;
 
-  // Whether enough shards for an answer could be sent now.
+  // Whether as many shards as an answer needs have a leaf with capacity.
   bool HasRoom() const;
   void SendAll();
-  // The shards in the order in which they are to be sent. Each try of a suspect
-  // has one of its own.
+  // The shards in the order in which they are sent. For trials of a suspect
+  // request, the order depends on the request identifier.
   std::vector<Shard*> InOrderOfSends();
-  // Sends what was held back for want of room, or refuses it after a while.
+  // Starts the request if enough shards have capacity by now; refuses it once
+  // it has waited too long.
   void LookForRoom(base::MonotonicTime now);
   void SendTo(Shard& shard,
               const blackboard::Upstream& leaf,
               SendCause cause,
               std::optional<admission::Allowance> paid);
-  // Sends the shard to a leaf that it was not sent to yet; false if none may
-  // take it or the budget is used up, which the shard then notes.
+  // Sends the shard to a leaf that it was not sent to yet. Returns false, and
+  // sets the shard's `obstacle`, if no leaf is usable or the budget is used up.
   bool TrySend(Shard& shard, SendCause cause);
-  // The same for a further leaf, if the route and the time allow one.
+  // Like TrySend(), but also checks that the route and the remaining time allow
+  // one more leaf.
   bool TrySendElsewhere(Shard& shard, SendCause cause);
-  // Whether a send may reach a leaf beyond the first one of its request.
+  // Whether a send has to be paid for from the budget of extra sends.
   bool is_extra(SendCause cause) const;
-  // Why NextLeaf() finds none.
+  // Why NextLeaf() returned null.
   SendObstacle WhyNoLeaf(const Shard& shard) const;
-  // Sends a shard that found no leaf so far, or gives it up after a while.
+  // Retries a shard for which no leaf was available; fails it once it has
+  // waited too long.
   void SendWaiting(Shard& shard, base::MonotonicTime now);
-  // Whether another send must wait until the running ones have ended.
+  // Whether further sends must wait for a running trial to end.
   bool must_wait_for_trial() const;
-  // Whether the request may reach leaves at all.
+  // Whether the quarantine forbids sending the request to leaves.
   bool is_quarantined() const;
-  // A leaf broke off under the request, or answered it.
+  // Called when a leaf's connection broke during the request, and when a leaf
+  // answered it.
   void DidLose(const Attempt& attempt);
   void DidSurvive();
-  // No shard is sent any more.
+  // Fails all open shards; their sends are cancelled or left to linger.
   void SettleOpenShards();
   // Whether the route allows one more leaf.
   bool MaySendElsewhere(const Shard& shard) const;
   bool MayUse(const Shard& shard, const blackboard::Upstream& leaf) const;
-  // Whether the coverage target can be met without one more shard.
+  // Whether the coverage target can still be met if one more shard fails.
   bool is_one_optional() const;
-  // Plans another send to a leaf that refused; false if that is no use.
+  // Schedules a retry at a leaf that refused for lack of capacity. Returns
+  // false if a retry would not help.
   bool PlanRepeat(Shard& shard);
   base::Duration RefusalPause() const;
   void SendAgain(Shard& shard, base::MonotonicTime now);
@@ -170,15 +180,16 @@
                const std::string& leaf,
                upstream::ForwardReply reply);
   void Settle(Shard& shard, ShardState state);
-  // The leaf hears of it.
+  // Cancels the send and notifies the leaf.
   void Cancel(Attempt& attempt, CancelReason reason);
-  // Second sends, waiting shards, the target and the deadline: all that is due.
+  // Timer callback: handles all that is due of second sends, waiting shards,
+  // the latency target and the deadline.
   void Wake();
   void SecondSends(base::MonotonicTime now);
-  // Whether a shard has to answer before more second sends go out.
+  // Whether no more second sends may go out until a shard has answered.
   bool must_await_answer() const;
   void PrepareSecondSend(const Shard& shard);
-  // The leaf that the shard would be sent to next; null if there is none.
+  // The leaf that the shard would be sent to next; null if none is usable.
   const blackboard::Upstream* NextLeaf(const Shard& shard) const;
   void ConcludeIfDue();
   void Conclude();
@@ -187,16 +198,18 @@
   base::MonotonicTime NextDue() const;
   void Finish(ForwardedAnswer answer);
   void LogAnswer(const ForwardedAnswer& answer) const;
-  // What this daemon believes of the leaf has changed.
+  // Logs that the leaf was found to be replaced by another one at its address,
+  // or that it is in use again.
   void LogReplaced(const blackboard::Upstream& leaf, bool is_replaced) const;
-  // The shards without an answer, each with its sends and what kept it from
-  // more.
+  // Lists the shards without an answer, each with its number of sends and the
+  // reason why there were no more.
   std::string DescribeMissing() const;
-  // The sends beyond the first of each shard: cause, what paid, leaf.
+  // Lists the sends beyond the first of each shard: cause, allowance that paid
+  // for it, and leaf.
   std::string DescribeRepeats() const;
 
-  // When a caller that is refused should come back: a part of its target, so
-  // that it can still be answered in time.
+  // The delay after which a refused caller should retry: a fraction of its
+  // latency target, so that the retry can still be answered in time.
   base::Duration retry_after() const {
     return route_.targets.latency / kReturnShare;
   }
@@ -214,9 +227,9 @@
   Done done_;
   const base::MonotonicTime arrived_;
   const base::MonotonicTime deadline_;
-  // From then on an answer with `least_answers_` goes out.
+  // From this time on, `least_answers_` shards are enough for an answer.
   base::MonotonicTime target_due_;
-  // Leaves that a shard may be sent to.
+  // The maximum number of leaves that one shard may be sent to.
   const int most_leaves_;
   std::vector<Shard> shards_;
   int least_answers_;
@@ -224,18 +237,18 @@
   int settled_ = 0;
   int sends_ = 0;
   int extra_sends_ = 0;
-  // To another leaf, since the reply was overdue.
+  // Sends to another leaf because the reply was overdue.
   int second_sends_ = 0;
   int refusals_ = 0;
-  // Sends whose connection ended before an answer: each may be a leaf that
-  // ended.
+  // Sends whose connection broke before an answer; each may mean that the
+  // leaf's process ended.
   int lost_ = 0;
-  // A send to a leaf may have run without an answer that can be given.
+  // Whether a send may have been executed without a usable answer.
   bool may_have_run_;
-  // See step 4.
+  // Whether the request is sent to one leaf at a time (step 4).
   bool is_trying_ = false;
   bool is_given_up_ = false;
-  // Nothing was sent yet, since too few shards had a leaf with room.
+  // Nothing has been sent yet because too few shards had a leaf with capacity.
   bool is_held_ = false;
   bool is_finished_ = false;
   base::Error last_error_;
--- a/src/query/fan_out_shard.h
+++ b/src/query/fan_out_shard.h
@@ -1,4 +1,4 @@
-// One shard of a fanned-out request: what was sent for it, and what came of it.
+// State of one shard of a fanned-out request: its sends and their results.
 
 #ifndef MEDLARSPREAD_QUERY_FAN_OUT_SHARD_H_
 #define MEDLARSPREAD_QUERY_FAN_OUT_SHARD_H_
@@ -20,20 +20,21 @@
 
 enum class ShardState { kOpen, kAnswered, kFailed };
 
-// What kept a shard from being sent to one more leaf, the last time that was
-// due.
+// Why a shard was not sent to one more leaf when that was last due.
 enum class SendObstacle {
   kNone,
-  // All leaves were sent to already, or none is known.
+  // The shard was sent to all known leaves already, or none is known.
   kNoLeaf,
-  // The others have no connection free, or would answer late.
+  // The remaining leaves have no free connection or are expected to answer too
+  // late.
   kNoRoom,
   kBudgetUsedUp,
   // The route allows no further leaf.
   kAttemptsUsedUp,
   // Too little time was left.
   kTooLate,
-  // The request ends the leaves that run it.
+  // The quarantine blocks the request because leaf processes crashed while
+  // executing it.
   kQuarantined,
 };
 
@@ -49,17 +50,18 @@
 
 // Why a shard is sent to a leaf.
 enum class SendCause {
-  // Nothing was sent for it yet.
+  // The first send of the shard.
   kFirst,
-  // The send before did not leave this daemon, so this one takes its place.
+  // Replaces a send that never left this daemon.
   kUnsent,
-  // The reply is overdue at the leaf that has it.
+  // The reply of an earlier leaf is overdue (a hedged send).
   kOverdue,
-  // The leaf that had it failed.
+  // An earlier leaf failed.
   kFailed,
-  // A leaf that refused for want of room is asked again.
+  // Retry at a leaf that refused for lack of capacity.
   kRefused,
-  // It had to wait for a leaf, or for the trial of a suspect to end.
+  // The shard had to wait for a usable leaf or for the trial of a suspect
+  // request to end.
   kWaited,
 };
 
@@ -76,22 +78,21 @@
 struct ShardAttempt {
   blackboard::Upstream leaf;
   SendCause cause = SendCause::kFirst;
-  // Absent if it was free.
+  // The allowance that paid for the send; absent if none was needed.
   std::optional<admission::Allowance> paid;
   base::MonotonicTime sent;
-  // When a connection for a second send is opened, so that it is there in
-  // time.
+  // When to start opening a connection for a possible second send.
   base::MonotonicTime prepare;
-  // When a second send to another leaf pays.
+  // When the reply counts as overdue and a second send is worthwhile.
   base::MonotonicTime overdue;
   upstream::SentCall call;
   bool is_finished = false;
   bool was_prepared = false;
   bool was_overdue = false;
-  // The leaf is known to be late with it, whether a second send went out or
-  // not.
+  // The reply is known to be late, whether or not a second send was started.
   bool is_known_late = false;
-  // It was sent alone, to see whether its leaf lives through it.
+  // The send is a trial: no other send runs until it has shown whether the leaf
+  // survives the request.
   bool is_trial = false;
 };
 
@@ -99,31 +100,32 @@
   std::string collection;
   ShardState state = ShardState::kOpen;
   std::vector<std::shared_ptr<ShardAttempt>> attempts;
-  // Leaves that are not sent to again.
+  // Names of leaves that the shard is not sent to again.
   std::set<std::string> excluded;
-  // Leaves that refused for want of room: they may be sent to again, and are
-  // no further leaves then.
+  // Names of leaves that refused for lack of capacity. They may be retried, and
+  // a retry does not count as one more leaf.
   std::set<std::string> refused;
-  // The request counts for what the collection's budget earns.
+  // Whether this shard was already credited to the collection's budget of extra
+  // sends.
   bool has_earned = false;
-  // Leaves that the shard reached, or may have.
+  // The number of leaves that received the shard, or may have.
   int leaves = 0;
   int sends = 0;
-  // When to send again after a refusal; zero if that is not planned.
+  // When to retry after a refusal; zero if no retry is scheduled.
   base::MonotonicTime again_at;
   SendObstacle obstacle = SendObstacle::kNone;
-  // No leaf had room; the shard waits for one.
+  // No leaf had capacity; the shard is waiting for one.
   bool is_waiting = false;
   upstream::ForwardReply reply;
 
-  // Sends that have not ended.
+  // The number of sends in progress.
   int running() const {
     return static_cast<int>(std::count_if(
         attempts.begin(), attempts.end(),
         [](const auto& attempt) { return !attempt->is_finished; }));
   }
 
-  // Whether a send that has not ended may have reached its leaf.
+  // Whether a send in progress may have reached its leaf.
   bool may_be_running() const {
     return std::any_of(
         attempts.begin(), attempts.end(), [](const auto& attempt) {
@@ -131,8 +133,8 @@
         });
   }
 
-  // When the latest send has to be looked at: its second send is prepared or
-  // due. `otherwise` if there is nothing to wait for.
+  // When the latest send needs attention: when its second send is to be
+  // prepared or started. Returns `otherwise` if neither is pending.
   base::MonotonicTime SecondSendDue(base::MonotonicTime otherwise) const {
     if (attempts.empty() || attempts.back()->is_finished ||
         attempts.back()->was_overdue) {
--- a/src/query/forward_admission.cc
+++ b/src/query/forward_admission.cc
@@ -1,6 +1,6 @@
-// What may turn a request away before anything is sent: no routes yet, too many
-// requests, a handover that does not fit, leaves that ended under it, a backlog
-// at the leaves.
+// Admission checks made before anything is sent: no routes yet, too many
+// requests, an invalid handover, a quarantined request, or a backlog at the
+// leaves.
 
 #include "src/query/forward_service.h"
 
@@ -17,11 +17,11 @@
 using base::ErrorCode;
 using base::Step;
 
-// A daemon that knows no routes yet learns them within a store call or two.
+// A daemon without routes receives them within one or two store calls.
 constexpr base::Duration kRetryWhenUnknown = base::Milliseconds(300);
 constexpr base::Duration kRetryWhenFull = base::Milliseconds(100);
-// A caller that is turned away for the leaves' sake comes back after this time
-// at least: a new connection takes about as long.
+// The minimum retry delay of a caller refused because of a backlog: opening a
+// new connection takes about as long.
 constexpr base::Duration kLeastRetryAfter = base::Milliseconds(20);
 
 bool AreShardsOf(const blackboard::WorkRoute& route,
@@ -130,7 +130,7 @@
                       "admitted requests would make it wait " +
                           std::to_string(wait.count() / 1000) +
                           " ms at the leaves; route=" + route.targets.name);
-  // When half of what is ahead is done.
+  // By then half of the backlog is done.
   refusal.retry_after = std::max(kLeastRetryAfter, wait / 2);
   refusal.kind = RefusalKind::kOverload;
   return refusal;
--- a/src/query/forward_service.cc
+++ b/src/query/forward_service.cc
@@ -1,4 +1,4 @@
-// Route, collections, session; what turns requests away is in
+// Routing, selection of collections, and sessions. Admission checks are in
 // forward_admission.cc.
 
 #include "src/query/forward_service.h"
@@ -31,8 +31,9 @@
       answer);
 }
 
-// Who handed over a part that is refused sends it itself, but must not if the
-// request ends leaves, of which it may not have heard yet.
+// If a peer refuses a part, the daemon that handed it over sends the part
+// itself. It must not do so for a request that crashes leaves, which it may not
+// know of yet, so a quarantine refusal is converted to another answer.
 ForwardedAnswer AnswerForPeer(ForwardedAnswer answer) {
   const auto* refused = std::get_if<Refused>(&answer);
   if (refused == nullptr || refused->kind != RefusalKind::kQuarantined) {
@@ -52,7 +53,7 @@
           [session] { (void)session->Abandon(); }};
 }
 
-// Starts a session and returns what gives it up.
+// Starts a session and returns a function that cancels it.
 template <typename Session>
 ForwardService::Abandon StartAndAbandon(std::shared_ptr<Session> session) {
   session->Start();
@@ -199,8 +200,8 @@
       };
   ForwardedRequest forwarded =
       MakeForwarded(std::move(request), std::move(route));
-  // A suspect is tried at one leaf first, which no aggregator could do for the
-  // others.
+  // A suspect request is tried at one leaf first, which an aggregator cannot do
+  // for the parts of others.
   const bool is_suspect = quarantine_->StandingOf(forwarded.fingerprint) !=
                           quarantine::Standing::kClear;
   const bool is_handed_on =
--- a/src/query/forward_service.h
+++ b/src/query/forward_service.h
@@ -1,7 +1,5 @@
-// Takes the opaque requests of callers: finds the route, picks the
-// collections, and starts a session for each.
-//
-// Runs on the traffic thread.
+// Accepts the opaque requests of callers: finds the route, selects the
+// collections, and starts a session for each request.
 
 #ifndef MEDLARSPREAD_QUERY_FORWARD_SERVICE_H_
 #define MEDLARSPREAD_QUERY_FORWARD_SERVICE_H_
@@ -28,15 +26,15 @@
 
 namespace medlarspread::query {
 
-// A request as it came, before its route is known.
+// A request as received, before its route is known.
 struct IncomingRequest {
   std::string request_id;
   std::string host;
-  // Absent if the caller names none: then the route's timeout holds.
+  // Absent if the caller sets none; the route's timeout then applies.
   std::optional<base::Duration> deadline;
-  // How long it has waited already before it was read.
+  // How long the request waited before it was read.
   base::Duration waited{};
-  // Set if another daemon handed a part of it over.
+  // Set if another daemon handed over a part of the request.
   std::optional<upstream::Handover> handover;
   // Set by ForwardService.
   quarantine::Fingerprint fingerprint;
@@ -48,25 +46,27 @@
  public:
   struct Options {
     int most_in_flight = 2000;
-    // Of all daemons together, for each collection. Read at each request.
+    // The bound for each collection over all daemons together; read for each
+    // request.
     std::function<admission::ExtraSendBound()> extra_sends;
     base::Ablation ablation = {};
   };
 
   struct Ports {
     upstream::ForwardPort leaves;
-    // To the daemons that fan out for others.
+    // Connections to the daemons that fan out parts for others.
     upstream::ForwardPort peers;
     std::function<void(const burn::RequestRecord&)> record;
-    // A request of another daemon took so many sends; it is recorded there.
+    // Called with the number of sends made for another daemon's request. The
+    // request itself is recorded at that daemon.
     std::function<void(int sends)> did_fan_out_for_peer;
-    // A send beyond the first of its shard went out, and a send to a leaf
-    // ended.
+    // Called when a send beyond the first of its shard was started, and when a
+    // send to a leaf ended.
     std::function<void(const ShardAttempt&)> did_repeat =
         [](const ShardAttempt&) {};
     std::function<void(upstream::LeafOutcome)> did_end_send =
         [](upstream::LeafOutcome) {};
-    // A request was refused since it ends the leaves that run it.
+    // Called when a request was refused because it is quarantined.
     std::function<void()> did_quarantine = [] {};
   };
 
@@ -81,65 +81,66 @@
 
   using Abandon = std::function<void()>;
 
-  // Answers once, unless the returned function is called first, which gives
-  // the work up.
+  // Calls `done` once, unless the returned function is called first, which
+  // cancels the request.
   Abandon Submit(IncomingRequest request, ForwardedCallback done);
 
-  // How many shards are missing from a part that another daemon handed over;
-  // absent if it is not in work. If `most_missing` is set, it is answered as
-  // soon as no more than that are missing.
+  // Returns how many shards are missing from a part that another daemon handed
+  // over; absent if the part is not in progress. If `most_missing` is set, the
+  // part is answered as soon as at most that many are missing.
   std::optional<int> CheckPart(const std::string& request_id,
                                std::optional<int> most_missing);
 
   int in_flight() const { return in_work_->requests; }
-  // This daemon's part of what the collection's leaves bear from all daemons,
-  // 0 to 1.
+  // This daemon's share of the load on the collection's leaves, 0 to 1.
   double PartOf(const std::string& collection) const;
 
  private:
-  // What this daemon may use of a collection.
+  // This daemon's share of a collection's capacity.
   struct Allotment {
     double part;
     admission::ExtraSendBudget extra_sends;
   };
 
-  // What is in work now. Shared, since sessions may outlive the service.
+  // Requests in progress. Shared, since sessions may outlive the service.
   struct InWork {
     int requests = 0;
-    // By the first collection that the requests go to.
+    // Keyed by the first collection that the requests go to.
     std::map<std::string, admission::BacklogGate> gates;
-    // Of the last request that entered a gate.
+    // The ticket of the last request that entered a gate.
     std::uint64_t tickets = 0;
-    // Parts of other daemons' requests, by the request's identifier.
+    // Parts of other daemons' requests, keyed by request identifier.
     std::map<std::string, std::weak_ptr<FanOutSession>> parts_for_peers;
   };
 
-  // Whether what was admitted already leaves time for the request at the
-  // leaves.
+  // Refuses the request if the requests already admitted leave too little time
+  // for it at the leaves.
   std::optional<Refused> CheckBacklog(
       const IncomingRequest& request,
       const blackboard::WorkRoute& route,
       const std::vector<std::string>& collections);
-  // The request counts as in work, and as ahead of others at the gate, until
-  // the returned guard is gone.
+  // Counts the request as in progress, and as part of the gate's backlog, until
+  // the returned guard is destroyed.
   std::shared_ptr<void> EnterGate(const blackboard::WorkRoute& route,
                                   const std::string& gate);
   admission::ExpectedWork ExpectWork(const blackboard::WorkRoute& route,
                                      base::Duration waited) const;
-  // Requests that the leaves of a collection work on at once for this daemon,
-  // over all of them on average.
+  // The average number of requests per collection that its leaves execute
+  // concurrently for this daemon.
   double SlotsOf(const std::vector<std::string>& collections);
   std::optional<Refused> CheckAdmission(const IncomingRequest& request) const;
-  // Whether the request ends the leaves that run it.
+  // Refuses the request if the quarantine blocks it.
   std::optional<Refused> CheckQuarantine(const IncomingRequest& request) const;
-  // Whether a request that another daemon handed over may be fanned out here.
+  // Refuses a request that another daemon handed over if it cannot be fanned
+  // out here.
   std::optional<Refused> CheckHandover(const IncomingRequest& request,
                                        const blackboard::WorkRoute* route);
   std::vector<std::string> CollectionsOf(const blackboard::WorkRoute& route);
   Abandon StartSession(IncomingRequest request,
                        routing::RouteTable::RoutePointer route,
                        ForwardedCallback done);
-  // A part that another daemon handed over; it has passed the gate there.
+  // Starts a part that another daemon handed over. It was admitted by the
+  // backlog gate there.
   Abandon StartPart(IncomingRequest request,
                     routing::RouteTable::RoutePointer route,
                     ForwardedCallback done);
@@ -148,14 +149,15 @@
   Abandon StartGather(ForwardedRequest request,
                       const std::vector<routing::AggregatorPart>& parts,
                       FanOutSession::Done done);
-  // The work on a part, at the first peer that is not avoided or here.
+  // Creates the work on a part: at the first aggregator that is not being
+  // avoided, or on this daemon.
   GatherPart MakePart(const ForwardedRequest& request,
                       const routing::AggregatorPart& part,
                       FanOutSession::Done done);
   std::shared_ptr<FanOutSession> FanOutHere(ForwardedRequest request,
                                             std::vector<std::string> shards,
                                             FanOutSession::Done done);
-  // Brings the rows of `collections` up to date with the daemons of now.
+  // Updates the allotments of `collections` to the current set of daemons.
   void ShareOut(const std::vector<std::string>& collections,
                 const routing::AggregatorChoice& choice);
   const routing::RouteTable& Routes();
@@ -182,7 +184,7 @@
   std::shared_ptr<const routing::LeafIndex> index_;
   routing::WeightedTurns turns_;
   routing::AggregatorTable aggregators_;
-  // By collection.
+  // Keyed by collection.
   std::map<std::string, Allotment> allotments_;
   const std::shared_ptr<InWork> in_work_ = std::make_shared<InWork>();
 };
--- a/src/query/forwarded_request.cc
+++ b/src/query/forwarded_request.cc
@@ -1,4 +1,4 @@
-// Answers in the words of the log.
+// Formats answers for the log.
 
 #include "src/query/forwarded_request.h"
 
--- a/src/query/forwarded_request.h
+++ b/src/query/forwarded_request.h
@@ -1,4 +1,4 @@
-// A caller's opaque request and what it can be answered with.
+// A caller's opaque request and the possible answers to it.
 
 #ifndef MEDLARSPREAD_QUERY_FORWARDED_REQUEST_H_
 #define MEDLARSPREAD_QUERY_FORWARDED_REQUEST_H_
@@ -18,52 +18,53 @@
 namespace medlarspread::query {
 
 struct ForwardedRequest {
-  // The caller's; a retry of the caller comes with another one.
+  // Chosen by the caller; a retry has a new identifier.
   std::string request_id;
-  // How long the caller waits from now on.
+  // The time from now on that the caller waits for an answer.
   base::Duration deadline{};
-  // How long it has waited already, here or at the daemon that handed the
-  // request over. The latency target and the route's timeout include it.
+  // How long the request has waited already, here or at the daemon that handed
+  // it over. It counts towards the latency target and the route's timeout.
   base::Duration waited{};
-  // Leaves of each shard that another daemon may have sent it to already. If
-  // there are any, every send of this one is an extra send.
+  // The number of leaves per shard that another daemon may have sent the
+  // request to already. If not 0, every send of this request is an extra send.
   int leaves_of_others = 0;
-  // It may reach one leaf although it is convicted, and others if that one
-  // answers.
+  // The request is convicted, but may be sent to one leaf again, and to others
+  // if that leaf answers.
   bool is_retrial = false;
-  // The shards are a part of the request's; another session merges the parts
-  // and knows how many shards may be missing.
+  // The shards are only a part of the request's shards. Another session merges
+  // the parts and decides how many shards may be missing.
   bool is_part = false;
   std::shared_ptr<const blackboard::WorkRoute> route;
-  // The revision of the routes that `route` is from.
+  // The revision of the routing table that `route` was taken from.
   std::int64_t routes_revision = 0;
-  // The same for every try of the same request.
+  // The same for every retry of the request.
   quarantine::Fingerprint fingerprint;
-  // What is passed on, without the fields that concern one connection.
+  // The message to forward, without the header fields that apply to one
+  // connection only.
   std::shared_ptr<const http1::Request> message;
 };
 
-// A leaf's own answer, a failure of its own included.
+// The response of a leaf, passed on unchanged; may be an error response.
 struct PassedOn {
   http1::Response message;
 };
 
-// The greatest records of the shards that answered.
+// The greatest records of all shards that answered.
 struct Gathered {
   std::string records;
-  // One proof for each shard that is in.
+  // One proof for each shard that answered.
   std::vector<std::string> proofs;
   int missing = 0;
 };
 
-// No route in force takes the request.
+// No active route matches the request.
 struct NoRoute {};
 
-// Refused means that the request has not run and never will; Unknown that it
-// may have.
+// Refused means that the request was not and will not be executed; Unknown
+// means that it may have been.
 using ForwardedAnswer =
     std::variant<PassedOn, Gathered, NoRoute, Refused, Unknown>;
-// The answer as the log has it.
+// Describes the answer for the log.
 std::string Describe(const ForwardedAnswer& answer);
 
 using ForwardedCallback = std::function<void(ForwardedAnswer)>;
--- a/src/query/gather_session.cc
+++ b/src/query/gather_session.cc
@@ -1,4 +1,4 @@
-// The steps of gather_session.h.
+// The steps of GatherSession.
 
 #include "src/query/gather_session.h"
 
@@ -17,13 +17,13 @@
 using base::ErrorCode;
 using base::Step;
 
-// A caller that comes back after a refusal finds other leaves and peers.
+// By the time of a retry after this delay, other leaves and peers are chosen.
 constexpr base::Duration kRetryAfter = base::Milliseconds(50);
-// Parts are asked this long before the target: the way there and back twice,
-// and the aggregator's own delay.
+// Parts are asked this long before the target: two round trips, and the
+// aggregator's own delay.
 constexpr base::Duration kCheckTime = base::Milliseconds(6);
-// Once the target is past, a part is asked this often: seldom enough to cost
-// little, and the answer is late anyway.
+// The interval at which a part is asked after the target: long enough to cost
+// little, since the answer is late anyway.
 constexpr base::Duration kCheckInterval = base::Milliseconds(20);
 
 }  // namespace
--- a/src/query/gather_session.h
+++ b/src/query/gather_session.h
@@ -1,25 +1,27 @@
-// One request to all shards whose parts are fanned out by several daemons, from
-// its arrival to its one answer.
+// Handles one request to all shards whose parts are fanned out by several
+// daemons, from its arrival to its single answer.
 //
-// The shards are split by the failure domain that holds their leaves, so that
-// what crosses between domains is one request and one merged answer a part and
-// not one a shard.
+// The shards are grouped by the failure domain of their leaves, so that one
+// request and one merged answer per part, rather than per shard, cross between
+// domains.
 //
 // Steps:
 //   1. Each part is handed to an aggregator in its domain (HandoverSession), or
 //      fanned out here (FanOutSession). A part waits for all of its shards.
-//   2. When all parts are in, their records are merged and answered.
-//   3. At the latency target the open parts are asked how many of their shards
-//      are missing, and again and again after that. As soon as all that is
-//      missing together keeps to the coverage target, they are told to answer
-//      with what is in. No part knows that alone: two of them that each left
-//      out as many as the whole may miss would be no answer.
-//   4. At the deadline the answer goes out with what is in, if that is enough.
+//   2. When all parts have answered, their records are merged into the answer.
+//   3. At the latency target, and then periodically, the open parts are asked
+//      how many of their shards are missing. As soon as the total meets the
+//      coverage target, they are told to answer with what they have. A part
+//      cannot decide this alone: if two parts each left out as many shards as
+//      the whole request may, the answer would miss the target.
+//   4. At the deadline the answer is made from the parts that have answered, if
+//      these are enough.
 //
 // Invariants: the caller is answered once; all parts are of the route's one
 // revision, which the aggregators check.
 //
-// Runs on the traffic thread; keeps itself alive until the last part ended.
+// Runs on the traffic thread; the session keeps itself alive until the last
+// part has ended.
 
 #ifndef MEDLARSPREAD_QUERY_GATHER_SESSION_H_
 #define MEDLARSPREAD_QUERY_GATHER_SESSION_H_
@@ -38,25 +40,27 @@
 
 namespace medlarspread::query {
 
-// The work on one part, wherever it is done.
+// The work on one part, on this daemon or at a peer.
 struct GatherPart {
   using Report = std::function<void(int missing)>;
 
   std::function<void()> start;
-  // Reports how many shards are missing now; that never grows. Nothing is
-  // reported if the part can't be asked, or has ended.
+  // Reports how many shards are missing; the number never increases. Reports
+  // nothing if the part cannot be asked or has ended.
   std::function<void(Report)> check;
-  // Answer as soon as no more than so many shards are missing.
+  // Allows an answer as soon as at most `most_missing` shards are missing.
   std::function<void(int most_missing)> relax;
-  // Whether a leaf may have run it by now.
+  // Whether a leaf may have executed the part.
   std::function<bool()> may_have_run;
-  // The caller has left, or the part is no longer needed.
+  // Cancels the work: the caller has disconnected, or the part is not needed
+  // any more.
   std::function<void()> abandon;
 };
 
 class GatherSession : public std::enable_shared_from_this<GatherSession> {
  public:
-  // Makes the work on a part; `done` is called once, unless it is abandoned.
+  // Creates the work on a part. `done` is called once, unless the part is
+  // abandoned.
   using MakePart = std::function<GatherPart(FanOutSession::Done done)>;
 
   struct Dependencies {
@@ -69,39 +73,41 @@
                 ForwardedRequest request,
                 FanOutSession::Done done);
 
-  // Adds a part of so many shards; before Start().
+  // Adds a part with `shards` shards; call before Start().
   void Add(std::size_t shards, const MakePart& make);
   void Start();
-  // The caller has left: everything is cancelled, and nobody is answered.
-  // False if the session had answered already.
+  // Called when the caller has disconnected: cancels everything without an
+  // answer. Returns false if the session had answered already.
   bool Abandon();
 
  private:
   struct Part {
     GatherPart work;
     int shards = 0;
-    // As last reported; an upper bound, since it never grows.
+    // The last reported number; an upper bound, since it never increases.
     int missing = 0;
-    // How many it was told that it may miss, last.
+    // The last `most_missing` that the part was told.
     std::optional<int> told;
-    // Set once it has ended; empty records and all shards missing if it failed.
+    // Set once the part has ended. If it failed, there are no records and all
+    // shards are missing.
     std::optional<Gathered> result;
   };
 
-  // Asks the open parts, once and then at intervals.
+  // Asks the open parts how many shards are missing, now and then periodically.
   void Check();
   void DidReport(std::size_t index, int missing);
   void DidReachDeadline();
   void DidEnd(std::size_t index, ForwardedAnswer answer);
-  // Tells the open parts to answer if what is missing keeps to the target.
+  // Tells the open parts to answer if the missing shards in total are within
+  // the coverage target.
   void RelaxIfEnough();
   void Conclude();
   void Finish(ForwardedAnswer answer);
 
   int total() const;
-  // Shards that are missing from all parts; those of open parts as reported.
+  // The total of missing shards; for open parts, as last reported.
   int missing() const;
-  // Shards that may be missing from an answer.
+  // The maximum number of shards that an answer may lack.
   int most_missing() const;
 
   const Dependencies dependencies_;
--- a/src/query/handover_session.cc
+++ b/src/query/handover_session.cc
@@ -1,4 +1,4 @@
-// The steps of handover_session.h.
+// The steps of HandoverSession.
 
 #include "src/query/handover_session.h"
 
@@ -16,29 +16,31 @@
 using upstream::ForwardReply;
 using upstream::LeafOutcome;
 
-// The way to the peer and back, so that its answer still reaches the caller.
+// The round trip to the peer, deducted so that its answer still reaches the
+// caller in time.
 constexpr base::Duration kWayThere = Milliseconds(4);
-// A peer is probed for the first time after this part of the latency target, to
-// learn whether it has begun at all, and its answer is waited for this long: it
-// comes within some milliseconds, and in that time also from a processor that
-// is busy with many requests. A frozen peer is found out so that a repeat can
-// still be in time.
+// The first probe, which checks whether the peer has started at all, is sent
+// after this percentage of the latency target, and its answer is awaited for
+// the percentage below: it comes within some milliseconds, also from a
+// processor that is busy with many requests. A frozen peer is detected early
+// enough for a repeat to be in time.
 constexpr int kFirstProbePercent = 5;
 constexpr int kFirstWaitPercent = 30;
-// It is probed again after this part: by then most answers are there.
+// The second probe is sent after this percentage: most answers have arrived by
+// then.
 constexpr int kProbePercent = 40;
-// A peer that was alive a moment ago answers within this time.
+// A peer that was alive a moment ago answers a probe within this time.
 constexpr base::Duration kProbeWait = Milliseconds(30);
-// A peer that answered a probe is asked again after this time.
+// The interval between further probes of a peer that answered.
 constexpr base::Duration kProbeInterval = Milliseconds(250);
-// The leaves that a peer that was at work may have sent a shard to before it
-// fell silent: the first, and one more when that was late. Only what the route
-// allows beyond them is left for a repeat; where nothing is, the caller is told
-// at once, and asks again. The same holds for a peer that never said that it is
-// at work: its answer to the probe may be late because this daemon's own link
-// is busy.
+// The number of leaves per shard that a silent peer is assumed to have used:
+// the first, and one more if that was overdue. A repeat may use only what the
+// route allows beyond these; if there is none, the caller is told at once and
+// retries. The same applies to a peer that never confirmed that it works on the
+// part: its answer to the probe may be late because this daemon's own link is
+// busy.
 constexpr int kLeavesOfPeer = 2;
-// With less time left nothing is begun any more.
+// No repeat is started with less time left than this.
 constexpr base::Duration kLeastForRepeat = Milliseconds(20);
 
 blackboard::Upstream AsUpstream(const blackboard::Member& peer) {
@@ -133,20 +135,21 @@
   const bool did_not_run = !upstream::MayHaveRun(reply.outcome);
   is_peer_unknown_ = !did_not_run;
   // A peer that refuses is alive: it is stopping, or its routes differ for a
-  // moment.
+  // short time.
   if (!is_peers_word && reply.outcome != LeafOutcome::kShed) {
     (void)dependencies_->health->DidFail(peer_.name);
   }
   if (is_elsewhere_running_) {
     return;
   }
-  // A peer that says it failed has tried all that this daemon could try.
+  // A peer that reports a failure has tried everything that this daemon could
+  // try.
   if (is_peers_word || elsewhere_) {
     FinishUnknown();
     return;
   }
-  // Its leaves have rejected the part, wherever it tried: sent from here it
-  // would be a repeat, and no first send.
+  // The leaves have rejected the part wherever the peer tried it. A send from
+  // here would be a repeat, not a first send.
   if (reply.did_reach_leaves) {
     Finish(Refused{request_.request_id, last_error_, reply.retry_after,
                    RefusalKind::kOverload, true},
@@ -235,8 +238,8 @@
   is_peer_running_ = false;
   is_peer_unknown_ = has_left;
   ForwardedRequest request = MakeLaterRequest();
-  // The peer may be at work and only its word be late: whoever comes next pays
-  // for its sends.
+  // The peer may be working on the part while its confirmation is late, so
+  // sends of its replacement must be paid for.
   request.leaves_of_others += has_left ? kLeavesOfPeer : 0;
   if (request.route->most_attempts <= request.leaves_of_others ||
       time_left() < kLeastForRepeat) {
--- a/src/query/handover_session.h
+++ b/src/query/handover_session.h
@@ -1,30 +1,32 @@
-// A part of a request to all shards that this daemon hands to an aggregator,
-// from its start to its one end.
+// Handles a part of a request to all shards that this daemon hands to another
+// daemon, the aggregator.
 //
 // Steps:
 //   1. The request and the names of the part's shards are sent to the peer,
-//      which fans it out and answers with the part's merged records.
-//   2. A peer that refused it before it sent anything, or was not reached: the
-//      part is fanned out here, as if the request had just arrived. If its
-//      leaves have rejected the part, so is the caller: the peer has tried all
-//      that this daemon could try.
-//   3. The peer is probed on a connection of its own, soon after the start and
-//      again when it has been silent for a while. If it answers, the session
-//      waits on.
-//   4. A peer that never said that it is at work is told that its part is no
-//      longer needed, and the next one takes its place, if the route allows
-//      more leaves than the first may have sent to. The next one's sends are
-//      repeats, since the first may be at work and only its word be late.
-//   5. A peer that was at work and fell silent, or whose connection broke, may
-//      have sent to leaves: the part is fanned out here as a repeat, if the
-//      route allows more leaves than the peer may have sent to. Each send of it
-//      is paid for from the budget of extra sends, and the first answer counts.
-//      Otherwise it has failed, at once.
+//      which fans the part out and answers with the merged records.
+//   2. If the peer refuses the part before it has sent anything, or cannot be
+//      reached, the part is fanned out here as if the request had just arrived.
+//      If the peer's leaves rejected the part, the caller is refused too: the
+//      peer has tried everything that this daemon could try.
+//   3. The peer is probed on a separate connection, soon after the start and
+//      again when it has been silent for a while. As long as it answers, the
+//      session waits.
+//   4. A peer that never confirmed that it works on the part is told that the
+//      part is not needed any more, and the next peer replaces it, if the route
+//      allows more leaves than the first peer may have sent to. The next peer's
+//      sends count as repeats, since the first may be working on the part while
+//      its confirmation is late.
+//   5. A peer that had confirmed and fell silent, or whose connection broke,
+//      may have sent to leaves. The part is fanned out here as a repeat, if the
+//      route allows more leaves than the peer may have sent to. Each send of
+//      the repeat is paid for from the budget of extra sends, and the first
+//      answer is used. Otherwise the part fails at once.
 //
-// Invariants: it ends once; a part runs at both daemons only where the request
-// is idempotent, which requests to all shards are.
+// Invariants: the session ends once; a part runs at both daemons only if the
+// request is idempotent, as requests to all shards are.
 //
-// Runs on the traffic thread; keeps itself alive until the last call ended.
+// Runs on the traffic thread; the session keeps itself alive until the last
+// call has ended.
 
 #ifndef MEDLARSPREAD_QUERY_HANDOVER_SESSION_H_
 #define MEDLARSPREAD_QUERY_HANDOVER_SESSION_H_
@@ -49,10 +51,11 @@
 struct HandoverDependencies {
   base::Clock clock;
   base::TaskRunner runner;
-  // Sends to peers; a peer stands in the place of a leaf.
+  // Sends to peers; the port treats a peer like a leaf.
   upstream::ForwardPort peers;
   std::shared_ptr<routing::PeerHealth> health;
-  // Makes the work of fanning the shards out here; not started yet.
+  // Creates the work of fanning the shards out on this daemon, without starting
+  // it.
   std::function<GatherPart(ForwardedRequest,
                            std::vector<std::string>,
                            FanOutSession::Done)>
@@ -62,7 +65,7 @@
 
 class HandoverSession : public std::enable_shared_from_this<HandoverSession> {
  public:
-  // Makes the work on the part anew, at another peer or here.
+  // Creates the work on the part again, at another peer or on this daemon.
   using Replace =
       std::function<GatherPart(const ForwardedRequest&, FanOutSession::Done)>;
 
@@ -74,42 +77,43 @@
                   Replace replace);
 
   void Start();
-  // Reports how many shards are missing now, if the peer can be asked.
+  // Reports how many shards are missing, if the peer can be asked.
   void Check(std::function<void(int missing)> report);
-  // Answer as soon as no more than so many shards are missing.
+  // Allows an answer as soon as at most `most_missing` shards are missing.
   void Relax(int most_missing);
-  // Whether a leaf may have run the part.
+  // Whether a leaf may have executed the part.
   bool may_have_run() const;
-  // The caller has left: everything is cancelled, and nobody is answered.
-  // False if the session had answered already.
+  // Called when the caller has disconnected: cancels everything without an
+  // answer. Returns false if the session had answered already.
   bool Abandon();
 
  private:
   void DidReply(upstream::ForwardReply reply);
   void DidFail(const upstream::ForwardReply& reply);
-  // The peer has been silent: asks whether it lives.
+  // Asks a silent peer whether it is still working on the part.
   void Probe(base::Duration wait);
   void DidAnswerProbe(std::optional<int> missing);
   void DidMissProbe();
-  // Fans the part out here; at most once. A repeat is paid for and uses no
-  // leaves that the peer may have used.
+  // Fans the part out on this daemon, at most once. A repeat is paid for from
+  // the budget, and the leaves that the peer may have used count towards the
+  // route's maximum.
   void FanOutHere(bool is_repeat);
-  // Hands the part to another peer, or fans it out here.
+  // Hands the part to another peer, or fans it out on this daemon.
   void ReplacePeer();
-  // Starts what takes the peer's place.
+  // Starts the work that replaces the peer's.
   void StartElsewhere(GatherPart work);
   ForwardedRequest MakeLaterRequest() const;
   FanOutSession::Done MakeDone();
   void DidFanOut(ForwardedAnswer answer, const FanOutSummary& summary);
   void Finish(ForwardedAnswer answer, const FanOutSummary& summary);
-  // A failure, for want of anything better: the peer may have run it.
+  // Fails the part with an unknown outcome: the peer may have executed it.
   void FinishUnknown();
   FanOutSummary MakeSummary(int answered) const;
   void LogOutcome(const std::string& outcome) const;
 
   int shard_count() const { return static_cast<int>(shards_.size()); }
 
-  // What is left of the caller's deadline and of the route's timeout.
+  // The time left until the caller's deadline or the route's timeout.
   base::Duration time_left() const;
   base::Duration elapsed() const {
     return dependencies_->clock.Now() - arrived_;
@@ -124,13 +128,13 @@
   upstream::SentCall call_;
   upstream::SentCall probe_;
   const Replace replace_;
-  // Set once the part is worked on here, or by another peer.
+  // Set once the part runs on this daemon or at another peer.
   std::optional<GatherPart> elsewhere_;
   bool is_elsewhere_running_ = false;
   bool is_peer_running_ = false;
-  // It said that it has the part in work.
+  // The peer confirmed that it is working on the part.
   bool is_peer_at_work_ = false;
-  // The peer got the part, or may have, and its connection was lost.
+  // The peer received the part, or may have, and its connection broke.
   bool is_peer_unknown_ = false;
   bool is_finished_ = false;
   // Set once Check() was called.
@@ -138,7 +142,8 @@
   // Set once Relax() was called.
   std::optional<int> most_missing_;
   base::Error last_error_;
-  // When the peer is probed, or its answer to a probe is missed.
+  // Fires when the peer is to be probed, or when its answer to a probe is
+  // overdue.
   base::Timer timer_;
 };
 
--- a/src/query/query_service.cc
+++ b/src/query/query_service.cc
@@ -1,4 +1,4 @@
-// Admission by lifecycle and number, then a session.
+// Checks the lifecycle and the number of requests, then starts a session.
 
 #include "src/query/query_service.h"
 
@@ -11,7 +11,7 @@
 using base::ErrorCode;
 using base::Step;
 
-// The platform's balancer has moved a caller elsewhere by then.
+// By then the platform's load balancer has moved the caller to another daemon.
 constexpr base::Duration kRetryElsewhere = base::Milliseconds(1000);
 
 }  // namespace
@@ -47,8 +47,8 @@
 }
 
 void QueryService::Submit(CallerRequest request, AnswerCallback done) {
-  // The count goes up first: StopAccepting() followed by in_flight() == 0 then
-  // means that no session is left and none will start.
+  // The counter is incremented first: StopAccepting() followed by in_flight()
+  // == 0 then guarantees that no session is left and none will start.
   ++*in_flight_;
   auto finish = [in_flight = in_flight_,
                  done = std::move(done)](CallerAnswer answer) {
--- a/src/query/query_service.h
+++ b/src/query/query_service.h
@@ -1,5 +1,5 @@
-// The entry for callers' requests: starts a session for each and knows how many
-// are in flight, so that a stopping daemon can finish them.
+// Entry point for callers' requests: starts a session for each and counts those
+// in flight, so that a stopping daemon can finish them.
 
 #ifndef MEDLARSPREAD_QUERY_QUERY_SERVICE_H_
 #define MEDLARSPREAD_QUERY_QUERY_SERVICE_H_
@@ -16,18 +16,18 @@
 // Safe to use from any thread.
 class QueryService {
  public:
-  // `most_in_flight` bounds memory; a request above it is refused at once.
+  // `most_in_flight` bounds memory use; requests beyond it are refused at once.
   QueryService(std::shared_ptr<const SessionDependencies> dependencies,
                int most_in_flight);
 
   void Submit(CallerRequest request, AnswerCallback done);
 
-  // From now on requests are refused as not run.
+  // From now on requests are refused as not executed.
   void StopAccepting();
   int in_flight() const { return in_flight_->load(); }
 
  private:
-  // Nothing if the request may start.
+  // Returns nullopt if the request may start.
   std::optional<Refused> CheckAdmission(const CallerRequest& request) const;
 
   const std::shared_ptr<const SessionDependencies> dependencies_;
--- a/src/query/query_session.cc
+++ b/src/query/query_session.cc
@@ -1,4 +1,4 @@
-// The steps of one request.
+// The steps of QuerySession.
 
 #include "src/query/query_session.h"
 
@@ -19,13 +19,13 @@
 using routing::ShardResult;
 
 constexpr double kTolerance = 1e-9;
-// How often a session looks whether an owner that owes it shards is silent.
+// The interval at which a session checks for silent owners of its shards.
 constexpr Duration kSilenceCheck = base::Milliseconds(50);
-// How many daemons are asked for one shard at the most.
+// The maximum number of daemons that are asked for one shard.
 constexpr int kMostTries = 3;
-// How often a query starts again with another snapshot.
+// The maximum number of snapshots that one query is started with.
 constexpr int kMostSnapshots = 3;
-// When nothing better is known about when to come back.
+// Used when no retry delay is known.
 constexpr Duration kDefaultRetryAfter = base::Milliseconds(1000);
 
 }  // namespace
@@ -48,7 +48,7 @@
       target_due_(arrived_ + targets_.latency),
       deadline_(arrived_ + request_.deadline) {}
 
-// A step that does nothing once the session has answered.
+// Returns a callback that runs `step` unless the session has answered.
 std::function<void()> QuerySession::Guarded(void (QuerySession::*step)()) {
   return [self = shared_from_this(), step] {
     if (!self->is_finished_) {
@@ -81,14 +81,16 @@
     ChooseSnapshotAndAsk();
     return;
   }
-  // A claim uses its identifier up, so it is made only if something can be
-  // asked. The snapshot is chosen anew once it is granted.
+  // A claim makes the request identifier unusable for further claims, so it is
+  // made only if there is a snapshot to query. The snapshot is chosen again
+  // once the claim is granted.
   if (PlanSnapshot()) {
     Claim();
   }
 }
 
-// The wait of the slowest queue that the query needs, by the latest news.
+// The longest expected queue wait over all shards of the query, by the latest
+// reports.
 Duration QuerySession::SlowestExpectedWait() const {
   const auto index = dependencies_->router->IndexOf(targets_.collection);
   const auto plan = ChooseSnapshot(*index, targets_.coverage);
@@ -114,8 +116,9 @@
       deadline_ - dependencies_->clock.Now(),
       [self = shared_from_this()](const claims::ClaimResult& result) {
         self->runner_.Post([self, result] {
-          // NOTE: a grant that comes after the answer is never used: the
-          // caller has been told that nothing is known, and nothing is sent.
+          // NOTE: a grant that arrives after the answer is never used: the
+          // caller has been told that the outcome is unknown, and nothing is
+          // sent.
           if (!self->is_finished_) {
             self->DidClaim(result);
           }
@@ -129,13 +132,14 @@
       ChooseSnapshotAndAsk();
       return;
     case claims::ClaimOutcome::kTaken:
-      // Another submission of this request may be running or have run.
+      // Another submission of this request may be executing or have been
+      // executed.
       Finish(Unknown{request_.request_id, result.error});
       return;
     case claims::ClaimOutcome::kUnsettled:
     case claims::ClaimOutcome::kRefused:
     case claims::ClaimOutcome::kExpired:
-      // Nothing was sent by this daemon, and only the holder of a claim sends.
+      // This daemon has sent nothing, and only the holder of a claim sends.
       Refuse(result.error, result.retry_after, RefusalKind::kUnavailable);
       return;
   }
@@ -169,7 +173,7 @@
       runner_.After(kSilenceCheck, Guarded(&QuerySession::LookForSilentOwners));
 }
 
-// Step 4. Shards with the same owner travel in one message.
+// Step 4. Shards with the same owner are sent in one message.
 void QuerySession::Ask(const std::vector<KeyRange>& ranges) {
   std::map<std::pair<std::string, std::string>, std::vector<KeyRange>> parts;
   for (const KeyRange& range : ranges) {
@@ -257,7 +261,7 @@
   last_error_ = result.error;
   retry_after_ = std::max(retry_after_, result.retry_after);
   if (shard.owner != owner) {
-    // Another daemon has been asked since; its result counts.
+    // Another daemon has been asked since; only its result is used.
     return;
   }
   const bool is_unknown = result.outcome == ShardOutcome::kUnknown;
@@ -290,8 +294,9 @@
       !HasDestination(range, shard)) {
     return false;
   }
-  // A shard that certainly did not run costs no upstream anything, and a lost
-  // daemon is rare; all else is paid for, so that failures can't feed a storm.
+  // Retries of a shard that certainly was not executed put no load on
+  // upstreams, and the loss of a daemon is rare. All other retries are charged
+  // to the budget, so that failures cannot cause a retry storm.
   const bool is_free = !is_unknown || result.error.step == Step::kPeerLink;
   return is_free || dependencies_->retries->Take(targets_.name);
 }
@@ -304,10 +309,10 @@
       .has_value();
 }
 
-// Starts again when the snapshot has gone from under the query, or when its
-// owners have not heard of it yet although this daemon has: then the older one
-// is still there. Never for a request that may run only once, because its other
-// shards have run already.
+// Restarts the query when the snapshot is no longer held, or when the shards'
+// owners do not know of it yet although this daemon does; the older snapshot
+// still exists then. Never restarts an at-most-once request, because its other
+// shards have been executed already.
 bool QuerySession::TryOtherSnapshot() {
   if (is_at_most_once() || generation_ >= kMostSnapshots) {
     return false;
@@ -324,7 +329,8 @@
   for (const std::uint64_t id : std::exchange(sub_queries_, {})) {
     dependencies_->sub_queries->Cancel(id);
   }
-  // What ran in this snapshot has run, also if the next one gets no answer.
+  // Shards that were executed in this snapshot stay executed, even if the next
+  // snapshot gives no answer.
   may_have_run_ = may_have_run_ ||
                   std::any_of(shards_.begin(), shards_.end(), [](auto& row) {
                     return row.second.state != ShardState::kRefused;
@@ -334,8 +340,8 @@
   return true;
 }
 
-// A frozen daemon keeps its links open. Shards that it owes are asked of the
-// next owner, within the retry budget.
+// A frozen daemon keeps its connections open. Its unanswered shards are sent to
+// the next owner, within the retry budget.
 void QuerySession::LookForSilentOwners() {
   const auto now = dependencies_->clock.Now();
   std::vector<KeyRange> again;
@@ -372,8 +378,8 @@
 
 void QuerySession::DeadlineIsDue() {
   if (!builder_) {
-    // Still waiting for the claim: nothing has been sent, and a grant that
-    // comes from now on is not used.
+    // The session is still waiting for the claim: nothing has been sent, and a
+    // later grant is not used.
     Refuse(base::MakeError(ErrorCode::kTimeout, Step::kClaim, "",
                            "the claim was not settled before the deadline"),
            kDefaultRetryAfter, RefusalKind::kUnavailable);
--- a/src/query/query_session.h
+++ b/src/query/query_session.h
@@ -1,15 +1,15 @@
-// One request of a caller, from arrival to its one answer. The session keeps
-// itself alive by the callbacks and timers that refer to it.
+// Handles one request of a caller, from its arrival to its single answer. The
+// callbacks and timers that refer to the session keep it alive.
 //
 // Steps:
-//   1. Refuse at once what can't be met (admission).
+//   1. Refuse a request at once if its targets cannot be met (admission).
 //   2. Claim the request if it is not idempotent.
 //   3. Choose the snapshot.
-//   4. Ask the owners of the shards' queues.
-//   5. Collect results; ask elsewhere for shards that failed, within budget.
+//   4. Send sub-queries to the owners of the shards' queues.
+//   5. Collect results; retry failed shards elsewhere within the budget.
 //   6. Answer: at once when every shard has answered; at the class's latency
-//      target if the coverage target is met; otherwise when nothing more can
-//      come, at the deadline at the latest.
+//      target if the coverage target is met; otherwise when no further result
+//      can arrive, at the deadline at the latest.
 
 #ifndef MEDLARSPREAD_QUERY_QUERY_SESSION_H_
 #define MEDLARSPREAD_QUERY_QUERY_SESSION_H_
@@ -41,7 +41,7 @@
 
 namespace medlarspread::query {
 
-// What the sessions of one daemon share.
+// Dependencies shared by all sessions of a daemon.
 struct SessionDependencies {
   base::Clock clock;
   base::TaskRunner runner;
@@ -72,7 +72,7 @@
   struct Shard {
     ShardState state = ShardState::kWaiting;
     routing::Exclusions exclusions;
-    // The daemon that was asked last, and when.
+    // The daemon that was asked last, and the time of that.
     std::string owner;
     base::MonotonicTime asked;
     int tries = 0;
@@ -127,9 +127,11 @@
 
   // The members below are used on `runner_` only.
   bool is_finished_ = false;
-  // Snapshots that a shard could not be answered from.
+  // Snapshots that are not chosen again because a shard could not answer from
+  // them.
   std::set<blackboard::Snapshot> gone_;
-  // Results of an earlier snapshot choice carry a lower number and are dropped.
+  // Incremented with each choice of a snapshot; results of an earlier
+  // generation are dropped.
   int generation_ = 0;
   std::optional<SnapshotPlan> plan_;
   std::optional<AnswerBuilder> builder_;
@@ -137,7 +139,7 @@
   std::map<blackboard::KeyRange, Shard> shards_;
   std::vector<std::uint64_t> sub_queries_;
   int upstream_sends_ = 0;
-  // Set once a shard may have run without an answer.
+  // Set once a shard may have been executed without an answer.
   bool may_have_run_ = false;
   base::Error last_error_;
   base::Duration retry_after_{};
--- a/src/query/route_targets.h
+++ b/src/query/route_targets.h
@@ -1,4 +1,4 @@
-// The targets of a route for one request: when to answer, and with how much.
+// The latency and coverage targets of a route, applied to one request.
 
 #ifndef MEDLARSPREAD_QUERY_ROUTE_TARGETS_H_
 #define MEDLARSPREAD_QUERY_ROUTE_TARGETS_H_
@@ -12,21 +12,21 @@
 
 namespace medlarspread::query {
 
-// What the caller's clock shows beyond this daemon's: 3 ms each way, a new
-// connection, and the processor's own delay. The target and the deadline are
-// met at the caller.
+// The difference between the latency that the caller measures and the one
+// measured here: 3 ms each way, opening a connection, and processing delay. The
+// latency target and the deadline apply at the caller.
 constexpr base::Duration kTargetMargin = base::Milliseconds(16);
 constexpr base::Duration kDeadlineMargin = base::Milliseconds(12);
 
-// How long a request that has waited already may be worked on before an answer
-// with the least coverage goes out.
+// How long a request may still run before an answer with the minimum coverage
+// goes out, given the time that it has already waited.
 inline base::Duration TimeToTarget(const blackboard::WorkRoute& route,
                                    base::Duration waited) {
   return std::max(base::Duration{},
                   route.targets.latency - waited - kTargetMargin);
 }
 
-// How long it may be worked on in all, from its arrival here.
+// How long the request may run in total, from its arrival here.
 inline base::Duration TimeToDeadline(const ForwardedRequest& request) {
   return std::max(
       base::Duration{},
@@ -34,9 +34,9 @@
           kDeadlineMargin);
 }
 
-// How many of the shards an answer needs; at least one.
+// The minimum number of shards that an answer needs; at least one.
 inline int LeastAnswers(const blackboard::WorkRoute& route, int shards) {
-  // 0.9 of ten is nine, whatever the product is in binary.
+  // 0.9 of 10 must give 9 whatever the rounding of the binary product.
   constexpr double kRounding = 1e-9;
   const double least = route.targets.coverage * static_cast<double>(shards);
   return std::max(1, static_cast<int>(std::ceil(least - kRounding)));
--- a/src/query/shared_retry_budget.h
+++ b/src/query/shared_retry_budget.h
@@ -1,4 +1,4 @@
-// The retry budgets of all classes at one entry daemon.
+// The retry budgets of all classes at the daemon that received the requests.
 
 #ifndef MEDLARSPREAD_QUERY_SHARED_RETRY_BUDGET_H_
 #define MEDLARSPREAD_QUERY_SHARED_RETRY_BUDGET_H_
--- a/src/query/snapshot_chooser.cc
+++ b/src/query/snapshot_chooser.cc
@@ -1,4 +1,4 @@
-// One plan per snapshot that is held anywhere, then the choice among them.
+// Builds one plan per known snapshot, then chooses among the plans.
 
 #include "src/query/snapshot_chooser.h"
 
@@ -14,9 +14,9 @@
 // Rounding must not make a full plan miss a target of 1.
 constexpr double kTolerance = 1e-9;
 
-// NOTE: ranges of one snapshot do not overlap by the upstreams' contract. A
-// leaf that breaks it must not make coverage count twice, so the later of two
-// overlapping ranges is left out.
+// NOTE: by contract with the upstreams, ranges of one snapshot do not overlap.
+// If a leaf breaks the contract, the later of two overlapping ranges is skipped
+// so that coverage is not counted twice.
 void AddRange(SnapshotPlan& plan, const KeyRange& range) {
   if (!plan.ranges.empty() && range.low < plan.ranges.back().high) {
     return;
--- a/src/query/snapshot_chooser.h
+++ b/src/query/snapshot_chooser.h
@@ -1,6 +1,6 @@
-// Chooses the one snapshot that a query is answered from, before anything is
-// asked: the newest that can meet the class's coverage target, else the one
-// that covers most.
+// Chooses the single snapshot that a query is answered from, before any shard
+// is queried: the newest that can meet the class's coverage target, otherwise
+// the one with the highest coverage.
 
 #ifndef MEDLARSPREAD_QUERY_SNAPSHOT_CHOOSER_H_
 #define MEDLARSPREAD_QUERY_SNAPSHOT_CHOOSER_H_
@@ -16,13 +16,14 @@
 
 struct SnapshotPlan {
   blackboard::Snapshot snapshot;
-  // The shards that can be asked, ordered and free of overlaps.
+  // The ranges of the available shards, ordered and without overlaps.
   std::vector<blackboard::KeyRange> ranges;
-  // Share of the key space that they cover.
+  // The share of the key space that the ranges cover.
   double share = 0.0;
 };
 
-// Nothing if no leaf holds anything. Snapshots in `gone` are not chosen.
+// Returns nullopt if no leaf holds a snapshot. Snapshots in `gone` are not
+// chosen.
 std::optional<SnapshotPlan> ChooseSnapshot(
     const routing::ReplicaIndex& index,
     double coverage_target,
--- a/src/query/top_records.cc
+++ b/src/query/top_records.cc
@@ -1,4 +1,4 @@
-// A partial sort over views of the parts.
+// Partially sorts views into the parts.
 
 #include "src/query/top_records.h"
 
--- a/src/query/top_records.h
+++ b/src/query/top_records.h
@@ -1,4 +1,4 @@
-// Merges the replies of shards: records of a fixed size in no order.
+// Merges the replies of shards, which are unordered records of fixed size.
 
 #ifndef MEDLARSPREAD_QUERY_TOP_RECORDS_H_
 #define MEDLARSPREAD_QUERY_TOP_RECORDS_H_
@@ -12,9 +12,9 @@
 
 constexpr std::size_t kRecordBytes = 16;
 
-// The greatest `most` records of all parts, compared byte by byte, greatest
-// first. Equal records all count. What is left over at the end of a part and
-// shorter than a record is none.
+// Returns the greatest `most` records of all parts, compared byte by byte,
+// greatest first. Duplicates are kept. Trailing bytes of a part that do not
+// fill a record are ignored.
 std::string TopRecords(const std::vector<std::string>& parts, std::size_t most);
 
 }  // namespace medlarspread::query
--- a/tests/query/answer_builder_test.cc
+++ b/tests/query/answer_builder_test.cc
@@ -1,4 +1,5 @@
-// Coverage is exact and merged items keep the order of the key space.
+// Tests that coverage is exact and that merged items keep the order of the key
+// space.
 
 #include "src/query/answer_builder.h"
 
--- a/tests/query/fake_leaves.h
+++ b/tests/query/fake_leaves.h
@@ -1,4 +1,4 @@
-// Leaves of opaque requests that answer when the test says so.
+// Fake leaves for opaque requests whose replies the test controls.
 
 #ifndef MEDLARSPREAD_TESTS_QUERY_FAKE_LEAVES_H_
 #define MEDLARSPREAD_TESTS_QUERY_FAKE_LEAVES_H_
@@ -45,7 +45,7 @@
             }};
   }
 
-  // Answers send `index` with a body and a proof of its own.
+  // Answers send `index` with `body` and a proof of its leaf.
   void Answer(std::size_t index, const std::string& body) {
     upstream::ForwardReply reply;
     reply.outcome = upstream::LeafOutcome::kAnswered;
@@ -69,9 +69,9 @@
   std::deque<Sent>& sent() { return sent_; }
   // Names of leaves to which a connection was prepared.
   const std::vector<std::string>& prepared() const { return prepared_; }
-  // Names of leaves that have no connection free.
+  // Names of leaves that have no free connection.
   std::set<std::string>& full() { return full_; }
-  // Names of leaves whose connections never open.
+  // Names of leaves whose connections are never established.
   std::set<std::string>& connecting() { return connecting_; }
 
   void End(std::size_t index, upstream::ForwardReply reply) {
--- a/tests/query/forward_service_test.cc
+++ b/tests/query/forward_service_test.cc
@@ -1,4 +1,4 @@
-// ForwardService and FanOutSession over fake leaves and a manual clock.
+// Tests ForwardService and its sessions with fake leaves and a manual clock.
 
 #include "src/query/forward_service.h"
 
@@ -46,8 +46,8 @@
     leaves_view_.upstreams[leaf.name] = leaf;
   }
 
-  // One more shard, the first to be sent: once it has answered, all that are
-  // overdue are sent to a second leaf.
+  // Adds one more shard, which is sent first. Once it has answered, all overdue
+  // shards are sent to a second leaf.
   void AddAnsweringShard() {
     SetRoute(AllShards{{"single", "shard0", "shard1", "shard2", "shard3"}, 2},
              true);
@@ -111,14 +111,14 @@
   std::int64_t revision_ = 0;
   FakeLeaves leaves_;
   std::vector<burn::RequestRecord> records_;
-  // Far more than any test but those of the budget needs.
+  // Far more than any test needs, except those of the budget.
   admission::ExtraSendBound extra_sends_{0.5, 200.0};
   FakeLeaves peers_;
   int fanned_out_for_peers_ = 0;
   std::vector<ShardAttempt> repeats_;
   std::map<LeafOutcome, int> ends_;
   std::ostringstream log_;
-  // What the port of a leaf whose connection was lost shows.
+  // The result of a port check at a leaf whose connection was lost.
   http1::PortState port_state_ = http1::PortState::kListening;
   const std::shared_ptr<quarantine::Quarantine> quarantine_ =
       std::make_shared<quarantine::Quarantine>(
@@ -230,13 +230,14 @@
   EXPECT_NE(leaves_.sent()[4].leaf.name, leaves_.sent()[3].leaf.name);
   leaves_.Answer(4, Record('a'));
   ASSERT_NE(AnswerAs<Gathered>(), nullptr);
-  // The slow one may still tell when it is back.
+  // The send to the slow leaf lingers, so that its late reply can still be
+  // measured.
   EXPECT_TRUE(leaves_.sent()[3].is_lingering);
   EXPECT_FALSE(leaves_.sent()[3].is_cancelled);
 }
 
-// A request that ends its leaves would otherwise reach two of each shard before
-// the first end is known.
+// Otherwise a request that crashes its leaves would reach two leaves of each
+// shard before the first crash is noticed.
 TEST_F(ForwardServiceTest, UntilAShardHasAnsweredFewAreSentToASecondLeaf) {
   Submit();
   Advance(60);
@@ -259,7 +260,7 @@
 }
 
 TEST_F(ForwardServiceTest, SecondSendsEndWithTheBudget) {
-  // Two sends may be saved up, and nothing comes back while this test runs.
+  // The budget holds two sends, and none is added while this test runs.
   extra_sends_ = {0.0, 5.0};
   coverage_ = 1.0;
   AddAnsweringShard();
@@ -271,8 +272,8 @@
   Advance(kUntilFull);
   const std::size_t before = leaves_.sent().size();
   ASSERT_EQ(before, 5U);
-  // One shard answers at once; the four others are overdue, and each collection
-  // has a budget of its own.
+  // One shard answers at once; the four others become overdue, and each
+  // collection has its own budget.
   const auto submit = [this] {
     const std::size_t first = leaves_.sent().size();
     Submit();
@@ -288,7 +289,7 @@
 }
 
 TEST_F(ForwardServiceTest, TellsWhyEachRepeatWasSentAndWhatPaidForIt) {
-  // Nothing is earned, and the slack holds one send.
+  // No credit is earned, and the slack allows one send.
   extra_sends_ = {0.0, 2.5};
   constexpr int kUntilFull = 20'000;
   Submit();
@@ -318,7 +319,8 @@
 }
 
 TEST_F(ForwardServiceTest, NothingIsSentWhereTheLeavesOfShardsWereReplaced) {
-  // Each shard's three leaves say so, one after the other.
+  // The three leaves of each shard report, one after the other, that they were
+  // replaced.
   Submit();
   for (std::size_t send = 0; send < leaves_.sent().size(); ++send) {
     leaves_.Fail(send, LeafOutcome::kReplaced);
@@ -354,7 +356,8 @@
   EXPECT_EQ(passed->message.body(), "body");
 }
 
-// A caller may ask again after "not run" whatever it asked for.
+// A caller may retry any request after "not run", also one that is not
+// idempotent.
 TEST_F(ForwardServiceTest, WhatNeverLeftThisDaemonIsRefusedAndNeverLeavesIt) {
   for (const char* domain : {"n1", "s1", "w1"}) {
     leaves_.connecting().insert(std::string("single-") + domain);
@@ -406,7 +409,7 @@
   leaves_.Fail(1, LeafOutcome::kReplaced);
   ASSERT_EQ(leaves_.sent().size(), 3U);
   leaves_.Fail(2, LeafOutcome::kReplaced);
-  // The one that only had no room is asked once more.
+  // The leaf that only lacked capacity is retried once.
   Advance(10);
   ASSERT_EQ(leaves_.sent().size(), 4U);
   EXPECT_EQ(leaves_.sent()[3].leaf.name, leaves_.sent()[0].leaf.name);
@@ -544,7 +547,7 @@
   EXPECT_EQ(taken["shard0"], 2);
 }
 
-// More requests than the leaves can answer within the target.
+// Receives more requests than the leaves can answer within the target.
 class RoomTest : public ForwardServiceTest {
  protected:
   void Fill(const std::string& collection) {
@@ -554,7 +557,7 @@
   }
 };
 
-// Three of four shards make an answer.
+// Three of four shards are enough for an answer.
 TEST_F(RoomTest, NothingIsSentBeforeEnoughShardsHaveRoom) {
   Fill("shard0");
   Fill("shard1");
@@ -596,14 +599,14 @@
 class OverloadTest : public ForwardServiceTest {
  protected:
   OverloadTest() {
-    // A reply shows what a request takes.
+    // The service time of a request is known only after a reply.
     Submit();
     for (std::size_t shard = 0; shard < kShards; ++shard) {
       leaves_.Answer(shard, Record('a'));
     }
   }
 
-  // Submits requests until one is refused; returns how many were let in.
+  // Submits requests until one is refused; returns how many were admitted.
   int SubmitUntilRefused() {
     constexpr int kMost = 1'000;
     for (int entered = 0; entered < kMost; ++entered) {
@@ -643,7 +646,7 @@
 TEST_F(OverloadTest, FailuresThatLeavesCausedByRefusingNarrowTheBound) {
   const std::size_t before = leaves_.sent().size();
   const int widest = SubmitUntilRefused();
-  // Two of the first request's shards fail, and so do all their repeats.
+  // Two shards of the first request fail, and all their retries too.
   answer_.reset();
   for (int round = 0; round < 8 && !AnswerAs<Unknown>(); ++round) {
     const std::size_t sends = leaves_.sent().size();
@@ -659,7 +662,7 @@
   }
   ASSERT_NE(AnswerAs<Unknown>(), nullptr);
   EXPECT_EQ(service_.in_flight(), widest - 1);
-  // There would be room for one more, were the bound as wide as before.
+  // With the previous bound there would be capacity for one more.
   EXPECT_EQ(SubmitUntilRefused(), 0);
 }
 
@@ -682,8 +685,8 @@
   EXPECT_EQ(leaves_.sent().size(), sends + kShards);
 }
 
-// A daemon on a small VM beside an aggregator on a large one. The shards'
-// leaves are in its own failure domain and in one beside it, in two halves.
+// A daemon on a small VM, and an aggregator on a large VM in the same failure
+// domain. SplitShards() moves half of the shards' leaves to another domain.
 class HandoverTest : public ForwardServiceTest {
  protected:
   HandoverTest() {
@@ -710,7 +713,8 @@
     blackboard_.membership.Write(view);
   }
 
-  // Moves the leaves of the second half of the shards to the other domain.
+  // Moves the leaves of the second half of the shards to the other failure
+  // domain.
   void SplitShards() {
     for (const char* shard : {"shard2", "shard3"}) {
       leaves_view_.upstreams[std::string(shard) + "-n1"].failure_domain = "n2";
@@ -719,7 +723,7 @@
     WriteMembers({"small", "large", "beside"});
   }
 
-  // The peer's answer to call `index` with so many shards in.
+  // The peer answers call `index` with the results of `shards` shards.
   void AnswerPeer(std::size_t index, int shards, char record = 'a') {
     upstream::ForwardReply reply;
     reply.outcome = LeafOutcome::kAnswered;
@@ -739,8 +743,8 @@
     peers_.End(index, std::move(reply));
   }
 
-  // Answers all probes and relaxations of part `part` as a peer does that waits
-  // for its shards and hears nothing else.
+  // Answers all probes and relaxations of part `part` like a peer that waits
+  // for its shards without receiving further replies.
   void KeepAliveUntilDeadline(std::size_t part) {
     constexpr int kUntilDeadline = 789;
     constexpr int kStep = 10;
@@ -754,8 +758,8 @@
     }
   }
 
-  // Both of two peers say that they are at work, at both times that they are
-  // asked before the target.
+  // Both peers confirm that they are working on their parts, for both probes
+  // before the target.
   void AnswerBothProbes() {
     Advance(kUntilProbe);
     ASSERT_EQ(peers_.sent().size(), 4U);
@@ -767,25 +771,25 @@
     AnswerProbe(5, 1);
   }
 
-  // The peer answers the first probe, and is silent from then on.
+  // The peer answers the first probe and is silent from then on.
   void FallSilentAtWork() {
     Advance(kUntilProbe);
     AnswerProbe(1, kShards);
     Advance(kUntilNextProbe - kUntilProbe + kUntilProbeIsMissed);
   }
 
-  // The leaf answers the sends from `first` on.
+  // The leaves answer the sends from index `first` on.
   void AnswerLeaves(std::size_t first) {
     for (std::size_t send = first; send < first + kShards; ++send) {
       leaves_.Answer(send, Record('a'));
     }
   }
 
-  // A silent peer may have sent to two leaves.
+  // A silent peer may have sent each shard to two leaves.
   static constexpr int kAttemptsThatAllowRepeats = 3;
-  // The target is 100 ms: a peer is probed at 5 ms, and given up 30 ms after
-  // that if it is silent. One that answered is probed again at 40 ms. Parts are
-  // asked what they have at 78 ms.
+  // The target is 100 ms: a peer is probed at 5 ms, and replaced 30 ms later if
+  // it is silent. One that answered is probed again at 40 ms. Parts are asked
+  // how many shards are missing at 78 ms.
   static constexpr int kUntilProbe = 6;
   static constexpr int kUntilProbeIsMissed = 30;
   static constexpr int kUntilNextProbe = 41;
@@ -837,7 +841,7 @@
   AnswerBothProbes();
   Advance(kUntilChecked - kUntilNextProbe);
   ASSERT_EQ(peers_.sent().size(), 8U);
-  // One of four shards may be missing, and two are.
+  // One of four shards may be missing, but two are.
   AnswerProbe(6, 1);
   AnswerProbe(7, 1);
   EXPECT_EQ(peers_.sent().size(), 8U);
@@ -846,7 +850,7 @@
   AnswerProbe(8, 1);
   EXPECT_EQ(peers_.sent().size(), 10U);
   AnswerProbe(9, 0);
-  // Both parts are told to answer with what they have.
+  // Both parts are told to answer with the shards they have.
   ASSERT_EQ(peers_.sent().size(), 12U);
   EXPECT_EQ(peers_.sent()[10].call.handover->most_missing, 1);
   EXPECT_EQ(peers_.sent()[11].call.handover->most_missing, 0);
@@ -920,13 +924,13 @@
   ASSERT_EQ(leaves_.sent().size(), 4U);
   AnswerLeaves(0);
   EXPECT_NE(AnswerAs<Gathered>(), nullptr);
-  // A peer that refuses is asked again.
+  // A peer that refused is still used for the next request.
   Submit();
   EXPECT_EQ(peers_.sent().size(), 2U);
 }
 
-// Its sends have reached leaves already: the same from here would be repeats
-// that nothing pays for.
+// The peer's sends have reached leaves already: sends from here would be
+// repeats without a budget to pay for them.
 TEST_F(HandoverTest, APartThatThePeersLeavesRejectedIsRefused) {
   Submit();
   upstream::ForwardReply reply;
@@ -962,7 +966,7 @@
   ASSERT_EQ(leaves_.sent().size(), 4U);
   AnswerLeaves(0);
   EXPECT_NE(AnswerAs<Gathered>(), nullptr);
-  // The peer is left alone for a while.
+  // The peer is not used for a while.
   Submit();
   EXPECT_EQ(peers_.sent().size(), 1U);
   EXPECT_EQ(leaves_.sent().size(), 8U);
@@ -1002,7 +1006,7 @@
   AnswerLeaves(0);
   EXPECT_NE(AnswerAs<Gathered>(), nullptr);
   EXPECT_TRUE(peers_.sent()[0].is_cancelled);
-  // The next request goes nowhere near it.
+  // The next request is not sent to the peer.
   Submit();
   EXPECT_EQ(leaves_.sent().size(), 8U);
 }
@@ -1014,13 +1018,13 @@
   EXPECT_TRUE(leaves_.sent().empty());
   EXPECT_TRUE(peers_.sent()[0].is_cancelled);
   EXPECT_NE(AnswerAs<Unknown>(), nullptr);
-  // The peer is left alone, so the next request is fanned out here.
+  // The peer is not used for a while, so the next request is fanned out here.
   Submit();
   EXPECT_EQ(leaves_.sent().size(), 4U);
 }
 
-// A peer that never answered a probe may have read the request all the same,
-// and have sent each shard to two leaves: of two attempts none is left.
+// A peer that never answered a probe may still have read the request and sent
+// each shard to two leaves, which uses up two attempts.
 TEST_F(HandoverTest, WithTwoAttemptsNobodyTakesThePlaceOfASilentPeer) {
   WriteMembers({"small", "large", "large2"});
   SetAttempts(2);
@@ -1039,7 +1043,7 @@
   Advance(kUntilProbe);
   Advance(kUntilProbeIsMissed);
   ASSERT_EQ(leaves_.sent().size(), 4U);
-  // No second leaf, neither for an overdue shard nor for one that fails.
+  // No second leaf is used, neither for an overdue shard nor for a failed one.
   leaves_.Fail(0, LeafOutcome::kLost);
   Advance(40);
   EXPECT_EQ(leaves_.sent().size(), 4U);
@@ -1064,7 +1068,7 @@
   EXPECT_NE(AnswerAs<Gathered>(), nullptr);
 }
 
-// Two silent peers use three attempts up.
+// Two silent peers use up three attempts.
 TEST_F(HandoverTest, AfterTwoSilentPeersTheCallerIsToldAtOnce) {
   WriteMembers({"small", "large", "large2"});
   SetAttempts(3);
@@ -1077,7 +1081,7 @@
   EXPECT_NE(AnswerAs<Unknown>(), nullptr);
 }
 
-// A peer whose connection never opened has sent nothing.
+// A peer whose connection was never established has sent nothing.
 TEST_F(HandoverTest, APartThatNeverLeftIsFannedOutHereAsIfItHadJustArrived) {
   SetAttempts(2);
   extra_sends_ = {0.0, 0.0};
@@ -1221,7 +1225,7 @@
   SubmitFromPeer(revision_);
   leaves_.Fail(0, LeafOutcome::kLost);
   Advance(60);
-  // Three attempts, two of which belong to another daemon.
+  // Of three attempts, two belong to another daemon.
   EXPECT_EQ(leaves_.sent().size(), 2U);
 }
 
@@ -1235,7 +1239,7 @@
   EXPECT_EQ(leaves_.sent().size(), 2U);
 }
 
-// Otherwise it earns at two daemons, of which one sends it.
+// Otherwise it would be credited at two daemons, of which one sends it.
 TEST_F(TakeoverTest, APartThatIsNeverSentEarnsNothing) {
   extra_sends_ = {0.25, 0.0};
   for (const auto& [name, leaf] : leaves_view_.upstreams) {
@@ -1279,7 +1283,7 @@
   EXPECT_NE(AnswerAs<Refused>(), nullptr);
 }
 
-// Requests under which leaves broke off.
+// Requests during which connections to leaves broke.
 class QuarantineTest : public ForwardServiceTest {
  protected:
   static constexpr int kFirstSends = kShards;
@@ -1295,7 +1299,8 @@
     blackboard_.quarantine.Write(view);
   }
 
-  // Makes the request suspect: a leaf has ended under it at another daemon.
+  // Makes the request a suspect: a leaf's process ended during it at another
+  // daemon.
   void MakeSuspect() {
     quarantine_->DidHear({RequestFingerprint(),
                           quarantine::RunFinding::kLeafEnded, clock_.Now(),
@@ -1303,14 +1308,16 @@
   }
 };
 
-// The first leaf of each shard has broken off: the others are not all tried.
+// The connection to the first leaf of each shard has broken; the remaining
+// leaves must not all receive the request.
 TEST_F(QuarantineTest, AfterThreeLossesOneLeafIsTriedAtATime) {
   Submit();
   for (std::size_t index = 0; index < kFirstSends; ++index) {
     leaves_.Fail(index, LeafOutcome::kLost);
   }
   Advance(20);
-  // Two were sent on before it showed; then everything waits for them.
+  // Two shards were retried before the threshold was reached; then all others
+  // wait for these.
   const std::size_t sent = leaves_.sent().size();
   EXPECT_LE(sent, kFirstSends + 2U);
   for (std::size_t index = kFirstSends; index < sent; ++index) {
@@ -1323,7 +1330,8 @@
   EXPECT_EQ(leaves_.sent().size(), sent + 1);
 }
 
-// It was the leaves' own trouble: one that answers sets the others free.
+// The request is not to blame: after one leaf has answered, the other shards
+// are sent.
 TEST_F(QuarantineTest, AnAnswerEndsTheTrial) {
   MakeSuspect();
   Submit();
@@ -1349,7 +1357,7 @@
   EXPECT_EQ(leaves_.sent().size(), 1U);
 }
 
-// Otherwise the tries at all daemons would end the leaves of one shard.
+// Otherwise the trials of all daemons would crash the leaves of the same shard.
 TEST_F(QuarantineTest, TheTriesOfASuspectBeginAtDifferentShards) {
   MakeSuspect();
   std::set<std::string> collections;
@@ -1382,7 +1390,7 @@
   EXPECT_EQ(leaves_.sent().size(), 4U);
 }
 
-// Whoever handed the part over must not send it itself.
+// The daemon that handed the part over must not send it itself.
 TEST_F(QuarantineTest, APartOfAConvictedRequestIsNoRefusalToAPeer) {
   SetStored(blackboard::QuarantineState::kConvicted);
   IncomingRequest request;
@@ -1399,7 +1407,7 @@
   EXPECT_TRUE(leaves_.sent().empty());
 }
 
-// A verdict that falls while the request waits for a second send.
+// The request is convicted while it waits for a second send.
 TEST_F(QuarantineTest, NothingIsSentOnceTheVerdictIsKnown) {
   Submit();
   SetStored(blackboard::QuarantineState::kConvicted);
--- a/tests/query/query_session_test.cc
+++ b/tests/query/query_session_test.cc
@@ -1,5 +1,5 @@
-// Sessions driven by hand against leaves, peers and claims of the test: the
-// promises on answers, coverage, refusals and at-most-once requests.
+// Tests QuerySession with fake leaves, peers and claims: the guarantees on
+// answers, coverage, refusals and at-most-once requests.
 
 #include "src/query/query_session.h"
 
@@ -152,7 +152,7 @@
   ASSERT_TRUE(audit->has_value());
   EXPECT_TRUE(As<Answered>(audit).coverage.is_partial);
   EXPECT_EQ(As<Answered>(audit).coverage.share, 0.5);
-  // The other class wants everything, so it waits for its deadline.
+  // The other class requires full coverage, so it waits for its deadline.
   EXPECT_FALSE(counter->has_value());
   world_.scheduler->Advance(Milliseconds(400));
   ASSERT_TRUE(counter->has_value());
@@ -164,7 +164,8 @@
 TEST_F(QuerySessionTest, NeverMixesSnapshots) {
   const auto answer = Submit();
   world_.Answer(0, "[\"old\"]");
-  // The upper half moves on; its leaf no longer has the pinned version.
+  // The leaf of the upper half switches to a newer version and no longer has
+  // the chosen one.
   world_.AddLeaf("low", "north",
                  {{kSnapshot, kLowerHalf}, {kNewer, kLowerHalf}});
   world_.AddLeaf("high", "north", {{kNewer, kUpperHalf}});
@@ -178,7 +179,7 @@
 }
 
 TEST_F(QuerySessionTest, GoesBackWhenOwnersDoNotKnowTheNewSnapshotYet) {
-  // Here both versions are known; the leaves refuse the newer one.
+  // This daemon knows both versions, but the leaves refuse the newer one.
   world_.AddLeaf("low", "north",
                  {{kSnapshot, kLowerHalf}, {kNewer, kLowerHalf}});
   world_.AddLeaf("high", "north",
--- a/tests/query/snapshot_chooser_test.cc
+++ b/tests/query/snapshot_chooser_test.cc
@@ -1,4 +1,4 @@
-// The newest snapshot that meets the coverage target is pinned.
+// Tests that the newest snapshot that meets the coverage target is chosen.
 
 #include "src/query/snapshot_chooser.h"
 
@@ -42,7 +42,7 @@
 }
 
 TEST_F(SnapshotChooserTest, CountsOverTheLayoutOfTheSnapshot) {
-  // The new layout splits the lower half; one of the parts is lost.
+  // The new layout splits the lower half, and one of its parts is missing.
   world_.AddLeaf("leaf-1", "north", {{kOld, kLowerHalf}, {kNew, {0, 16384}}});
   world_.AddLeaf("leaf-2", "north", {{kOld, kUpperHalf}, {kNew, kUpperHalf}});
   const auto plan = Choose(0.7);
--- a/tests/query/top_records_test.cc
+++ b/tests/query/top_records_test.cc
@@ -1,4 +1,4 @@
-// TopRecords against a plain sort.
+// Compares TopRecords with a plain sort.
 
 #include "src/query/top_records.h"
 
