--- a/src/query/fan_out_log.cc
+++ b/src/query/fan_out_log.cc
@@ -39,8 +39,8 @@
        .request_id = request_.request_id,
        .message = "leaf " + leaf.name + " of " + leaf.collection +
                   (is_replaced ? " is gone: another leaf has its address; "
-                                 "it gets no more requests"
-                               : " answers after all; it gets requests "
+                                 "it receives no more requests"
+                               : " answers again; it receives requests "
                                  "again")});
 }
 
--- a/src/query/fan_out_sends.cc
+++ b/src/query/fan_out_sends.cc
@@ -116,9 +116,9 @@
     ArmTimer();
     return;
   }
-  last_error_ =
-      base::MakeError(ErrorCode::kOverloaded, Step::kForward, "",
-                      "too few shards have a leaf with room; nothing was sent");
+  last_error_ = base::MakeError(
+      ErrorCode::kOverloaded, Step::kForward, "",
+      "too few shards have a leaf with capacity; nothing was sent");
   Finish(Refused{request_.request_id, last_error_, retry_after(),
                  RefusalKind::kOverload});
 }
@@ -139,7 +139,7 @@
   }
   last_error_ =
       base::MakeError(ErrorCode::kUnavailable, Step::kForward, shard.collection,
-                      has_leaves ? "no leaf has room" : "no leaf is known");
+                      has_leaves ? "no leaf has capacity" : "no leaf is known");
   shard.is_waiting = false;
   Settle(shard, ShardState::kFailed);
 }
--- a/src/query/fan_out_session.cc
+++ b/src/query/fan_out_session.cc
@@ -96,7 +96,7 @@
        .step = Step::kForward,
        .request_id = request_.request_id,
        .message = std::string(request_.is_part ? "no longer needed"
-                                               : "the caller left") +
+                                               : "the caller disconnected") +
                   "; cancelled " + std::to_string(sends_) + " sends"});
   done_ = nullptr;
   return true;
@@ -355,13 +355,13 @@
   }
   if (!last_error_.code) {
     last_error_ = base::MakeError(ErrorCode::kUnavailable, Step::kForward, "",
-                                  "no leaf may be sent to");
+                                  "no leaf can be used");
   }
   if (is_quarantined()) {
     Finish(Refused{
         request_.request_id,
         base::MakeError(ErrorCode::kQuarantined, Step::kForward, "",
-                        "leaves have ended under the request meanwhile"),
+                        "leaf processes have ended while running the request"),
         dependencies_->quarantine->RetryAfter(request_.fingerprint),
         RefusalKind::kQuarantined});
     return;
--- a/src/query/forward_admission.cc
+++ b/src/query/forward_admission.cc
@@ -45,7 +45,7 @@
   refusal.request_id = request.request_id;
   if (blackboard_.routes.Read()->revision == 0) {
     refusal.error = base::MakeError(ErrorCode::kUnavailable, Step::kAdmit, "",
-                                    "no routes have been learnt yet");
+                                    "no routes received yet");
     refusal.retry_after = kRetryWhenUnknown;
     return refusal;
   }
@@ -67,10 +67,10 @@
   }
   std::string why;
   if (request.handover->routes_revision != Routes().view().revision) {
-    why = "handed over by routes of revision " +
+    why = "handed over with routes of revision " +
           std::to_string(request.handover->routes_revision);
   } else if (route == nullptr || !AreShardsOf(*route, *request.handover)) {
-    why = "handed over for other shards than the route's";
+    why = "handed over with shards that are not of the route";
   } else if (blackboard_.lifecycle.Read()->state ==
              blackboard::LifecycleState::kStopping) {
     why = "this daemon is stopping";
--- a/src/query/query_session.cc
+++ b/src/query/query_session.cc
@@ -391,7 +391,7 @@
   if (is_waiting) {
     may_have_run_ = true;
     last_error_ = base::MakeError(ErrorCode::kTimeout, Step::kMerge, "",
-                                  "deadline passed with shards owed");
+                                  "deadline passed before all shards replied");
   }
   Conclude();
 }
