--- a/emulator/fleet/virtual_daemon.cc
+++ b/emulator/fleet/virtual_daemon.cc
@@ -26,7 +26,7 @@
 ForwardReply MakePeerReply(query::ForwardedAnswer answer) {
   ForwardReply reply;
   reply.outcome = LeafOutcome::kFailed;
-  if (auto* gathered = std::get_if<query::Gathered>(&answer)) {
+  if (auto* gathered = std::get_if<query::MergedRecords>(&answer)) {
     reply.outcome = LeafOutcome::kAnswered;
     reply.message.body() = std::move(gathered->records);
     reply.shard_proofs = std::move(gathered->proofs);
--- a/emulator/fleet/virtual_fleet.cc
+++ b/emulator/fleet/virtual_fleet.cc
@@ -529,13 +529,13 @@
     }
     return;
   }
-  if (const auto* passed = std::get_if<query::PassedOn>(&answer)) {
+  if (const auto* passed = std::get_if<query::LeafResponse>(&answer)) {
     if (passed->message.result() != http1::Status::ok) {
       ++CountsOf(*errand).failed;
       return;
     }
   }
-  if (const auto* gathered = std::get_if<query::Gathered>(&answer)) {
+  if (const auto* gathered = std::get_if<query::MergedRecords>(&answer)) {
     missing = gathered->missing;
   }
   const base::Duration latency = clock_.Now() - errand->began;
--- a/src/platform/caller_codec.cc
+++ b/src/platform/caller_codec.cc
@@ -47,7 +47,7 @@
   return response;
 }
 
-Response EncodePassedOn(query::PassedOn passed) {
+Response EncodePassedOn(query::LeafResponse passed) {
   Response response = std::move(passed.message);
   http1::RemoveConnectionFields(response);
   response.version(kHttpVersion);
@@ -59,7 +59,7 @@
   return response;
 }
 
-Response EncodeGathered(const query::Gathered& gathered) {
+Response EncodeGathered(const query::MergedRecords& gathered) {
   Response response(Status::ok, kHttpVersion);
   std::string proofs;
   for (const std::string& proof : gathered.proofs) {
@@ -109,10 +109,12 @@
 Response EncodeAnswer(query::ForwardedAnswer answer) {
   return std::visit(
       base::Overloaded{
-          [](query::PassedOn& passed) {
+          [](query::LeafResponse& passed) {
             return EncodePassedOn(std::move(passed));
           },
-          [](query::Gathered& gathered) { return EncodeGathered(gathered); },
+          [](query::MergedRecords& gathered) {
+            return EncodeGathered(gathered);
+          },
           [](query::NoRoute&) { return MakePlain(Status::not_found); },
           [](query::Refused& refused) { return EncodeRefused(refused); },
           [](query::Unknown& unknown) { return EncodeUnknown(unknown); }},
--- a/src/query/fan_out_log.cc
+++ b/src/query/fan_out_log.cc
@@ -10,7 +10,7 @@
 using base::Step;
 
 // The maximum number of repeated sends listed in one log line.
-constexpr int kMostNamedRepeats = 8;
+constexpr int kMaxListedRepeats = 8;
 
 }  // namespace
 
@@ -69,7 +69,7 @@
       if (attempt->cause == SendCause::kFirst && !attempt->paid) {
         continue;
       }
-      if (named == kMostNamedRepeats) {
+      if (named == kMaxListedRepeats) {
         ++unnamed;
         continue;
       }
--- a/src/query/fan_out_sends.cc
+++ b/src/query/fan_out_sends.cc
@@ -25,17 +25,17 @@
 constexpr base::Duration kReplyMargin = Milliseconds(4);
 // A shard waits for a leaf with capacity for at most the latency target divided
 // by this; after that, a retry by the caller is more likely to succeed.
-constexpr int kWaitShare = 5;
+constexpr int kLeafWaitDivisor = 5;
 // A request to all shards waits until enough shards have a leaf with capacity
 // for at most the latency target divided by this, so that a refused caller can
 // retry and still be answered in time. Sending it at once to the shards with
 // capacity would waste their leaves' work if it then failed for lack of the
 // others. In a burst of four times the usual request rate, 0.866 of the credit
 // is earned with this wait, against 0.797 without it (virtual fleet).
-constexpr int kHoldShare = 8;
+constexpr int kCapacityWaitDivisor = 8;
 // Until response times of a class have been measured, a second send follows
 // after its latency target divided by this.
-constexpr int kFirstDelayShare = 3;
+constexpr int kInitialDelayDivisor = 3;
 // The maximum number of overdue shards that are sent to a second leaf before
 // any shard has answered; once one has, all overdue shards are. If none
 // answers, the request may be crashing its leaves, which is noticed only when
@@ -44,7 +44,7 @@
 // shows it one round trip later.
 constexpr int kSecondSendsBeforeAnswer = 2;
 // How often a session whose second sends are limited checks for an answer.
-constexpr base::Duration kAnswerInterval = Milliseconds(5);
+constexpr base::Duration kAnswerCheckInterval = Milliseconds(5);
 // A connection for a second send is opened after this percentage of its delay.
 // A connection to another region takes 22 ms to open, as long as the delay
 // itself.
@@ -53,9 +53,9 @@
 // time of a request there, since its slots become free at about that rate.
 // Until that time is known, and at most, the pause is the latency target
 // divided by this.
-constexpr int kRefusalPauseShare = 12;
+constexpr int kRefusalPauseDivisor = 12;
 // The maximum number of sends of one shard, including refused ones.
-constexpr int kMostSends = 5;
+constexpr int kMaxSendsPerShard = 5;
 
 }  // namespace
 
@@ -64,7 +64,7 @@
   for (Shard& shard : shards_) {
     shard.is_waiting = true;
   }
-  for (Shard* shard : InOrderOfSends()) {
+  for (Shard* shard : ShardsInSendOrder()) {
     SendWaiting(*shard, now);
   }
   ConcludeIfDue();
@@ -75,12 +75,12 @@
 
 // NOTE: if all daemons tried the shards in the route's order, the trials would
 // crash the leaves of the first shards until none is left.
-std::vector<FanOutShard*> FanOutSession::InOrderOfSends() {
+std::vector<FanOutShard*> FanOutSession::ShardsInSendOrder() {
   std::vector<Shard*> order;
   for (Shard& shard : shards_) {
     order.push_back(&shard);
   }
-  if (!is_trying_) {
+  if (!is_sending_trials_) {
     return order;
   }
   std::map<std::string, Shard*> by_collection;
@@ -98,21 +98,21 @@
   return order;
 }
 
-bool FanOutSession::HasRoom() const {
+bool FanOutSession::HasCapacity() const {
   const auto with_room = std::count_if(
       shards_.begin(), shards_.end(),
       [this](const Shard& shard) { return NextLeaf(shard) != nullptr; });
-  return with_room >= least_answers_;
+  return with_room >= min_answers_;
 }
 
-void FanOutSession::LookForRoom(MonotonicTime now) {
-  if (HasRoom()) {
-    is_held_ = false;
+void FanOutSession::CheckForCapacity(MonotonicTime now) {
+  if (HasCapacity()) {
+    is_waiting_for_capacity_ = false;
     SendAll();
     return;
   }
   const base::Duration target = route_.targets.latency;
-  if (now - arrived_ < target / kHoldShare) {
+  if (now - arrived_ < target / kCapacityWaitDivisor) {
     ArmTimer();
     return;
   }
@@ -134,7 +134,8 @@
   const bool has_leaves =
       !dependencies_->index()->LeavesOf(shard.collection).empty() &&
       shard.obstacle != SendObstacle::kQuarantined;
-  if (has_leaves && now - arrived_ < route_.targets.latency / kWaitShare) {
+  if (has_leaves &&
+      now - arrived_ < route_.targets.latency / kLeafWaitDivisor) {
     return;
   }
   last_error_ =
@@ -168,7 +169,7 @@
   const auto index = dependencies_->index();
   const blackboard::Upstream* leaf = NextLeaf(shard);
   if (leaf == nullptr) {
-    shard.obstacle = WhyNoLeaf(shard);
+    shard.obstacle = ObstacleOf(shard);
     return false;
   }
   std::optional<admission::Allowance> paid;
@@ -185,18 +186,18 @@
 }
 
 bool FanOutSession::TrySendElsewhere(Shard& shard, SendCause cause) {
-  if (shard.leaves >= most_leaves_) {
+  if (shard.leaves >= max_leaves_) {
     shard.obstacle = SendObstacle::kAttemptsUsedUp;
     return false;
   }
-  if (time_left() < kReplyMargin + kLeastTimeLeft) {
+  if (time_left() < kReplyMargin + kMinTimeToSend) {
     shard.obstacle = SendObstacle::kTooLate;
     return false;
   }
   return TrySend(shard, cause);
 }
 
-SendObstacle FanOutSession::WhyNoLeaf(const Shard& shard) const {
+SendObstacle FanOutSession::ObstacleOf(const Shard& shard) const {
   const auto& leaves = dependencies_->index()->LeavesOf(shard.collection);
   const bool is_one_full =
       std::any_of(leaves.begin(), leaves.end(), [&](const auto* leaf) {
@@ -210,20 +211,20 @@
   return dependencies_->tracker->Choose(
       dependencies_->index()->LeavesOf(shard.collection),
       {route_.targets.name, route_.targets.latency, route_.is_idempotent,
-       is_one_optional()},
+       can_spare_shard()},
       [&](const blackboard::Upstream& leaf) { return MayUse(shard, leaf); },
       dependencies_->leaves.readiness);
 }
 
-bool FanOutSession::is_one_optional() const {
+bool FanOutSession::can_spare_shard() const {
   const int failed = settled_ - answered_;
-  return static_cast<int>(shards_.size()) - failed > least_answers_;
+  return static_cast<int>(shards_.size()) - failed > min_answers_;
 }
 
 bool FanOutSession::MayUse(const Shard& shard,
                            const blackboard::Upstream& leaf) const {
   const bool is_further_leaf = !shard.refused.contains(leaf.name);
-  if (is_further_leaf && shard.leaves >= most_leaves_) {
+  if (is_further_leaf && shard.leaves >= max_leaves_) {
     return false;
   }
   return !shard.excluded.contains(leaf.name);
@@ -239,14 +240,14 @@
   attempt->paid = paid;
   attempt->sent = dependencies_->clock.Now();
   const base::Duration delay = dependencies_->tracker->SecondSendDelay(
-      leaf, route_.targets.name, route_.targets.latency / kFirstDelayShare);
+      leaf, route_.targets.name, route_.targets.latency / kInitialDelayDivisor);
   attempt->prepare = attempt->sent + delay * kPreparePercent / 100;
   attempt->overdue = attempt->sent + delay;
-  attempt->is_trial = is_trying_;
+  attempt->is_trial = is_sending_trials_;
   // A request is credited to the budget once, by the daemon that makes its
   // first send: a part may be handed to several daemons, of which one sends it.
   if (cause == SendCause::kFirst && !paid &&
-      !std::exchange(shard.has_earned, true)) {
+      !std::exchange(shard.is_credited, true)) {
     dependencies_->did_request(shard.collection);
   }
   shard.excluded.insert(leaf.name);
@@ -268,42 +269,42 @@
 }
 
 bool FanOutSession::MaySendElsewhere(const Shard& shard) const {
-  return shard.leaves < most_leaves_ &&
-         time_left() >= kReplyMargin + kLeastTimeLeft;
+  return shard.leaves < max_leaves_ &&
+         time_left() >= kReplyMargin + kMinTimeToSend;
 }
 
 base::Duration FanOutSession::RefusalPause() const {
-  const base::Duration most = route_.targets.latency / kRefusalPauseShare;
+  const base::Duration most = route_.targets.latency / kRefusalPauseDivisor;
   const base::Duration work =
       dependencies_->tracker->WorkAlone(route_.targets.name);
   return work == base::Duration{} ? most : std::min(work, most);
 }
 
-bool FanOutSession::PlanRepeat(Shard& shard) {
+bool FanOutSession::ScheduleRetry(Shard& shard) {
   const bool is_in_time =
-      time_left() >= RefusalPause() + kReplyMargin + kLeastTimeLeft;
+      time_left() >= RefusalPause() + kReplyMargin + kMinTimeToSend;
   if (!has(Mechanism::kRepeats) || shard.refused.empty() ||
-      shard.sends >= kMostSends || !is_in_time) {
+      shard.sends >= kMaxSendsPerShard || !is_in_time) {
     return false;
   }
   for (const std::string& leaf : shard.refused) {
     shard.excluded.erase(leaf);
   }
-  shard.again_at = dependencies_->clock.Now() + RefusalPause();
+  shard.retry_at = dependencies_->clock.Now() + RefusalPause();
   return true;
 }
 
-void FanOutSession::SendAgain(Shard& shard, MonotonicTime now) {
-  if (shard.again_at == MonotonicTime{} || now < shard.again_at) {
+void FanOutSession::RetryRefused(Shard& shard, MonotonicTime now) {
+  if (shard.retry_at == MonotonicTime{} || now < shard.retry_at) {
     return;
   }
-  shard.again_at = {};
+  shard.retry_at = {};
   if (!TrySend(shard, SendCause::kRefused)) {
     Settle(shard, ShardState::kFailed);
   }
 }
 
-void FanOutSession::SecondSends(MonotonicTime now) {
+void FanOutSession::StartSecondSends(MonotonicTime now) {
   for (Shard& shard : shards_) {
     if (shard.state != ShardState::kOpen || shard.attempts.empty()) {
       continue;
@@ -314,7 +315,7 @@
     }
     if (!latest.was_prepared && now >= latest.prepare) {
       latest.was_prepared = true;
-      if (!is_trying_) {
+      if (!is_sending_trials_) {
         PrepareSecondSend(shard);
       }
     }
@@ -326,11 +327,12 @@
                                        now - latest.sent);
     }
     if (must_await_answer()) {
-      latest.overdue = now + kAnswerInterval;
+      latest.overdue = now + kAnswerCheckInterval;
       continue;
     }
     latest.was_overdue = true;
-    if (route_.is_idempotent && !is_trying_ && has(Mechanism::kSecondSends)) {
+    if (route_.is_idempotent && !is_sending_trials_ &&
+        has(Mechanism::kSecondSends)) {
       second_sends_ += TrySendElsewhere(shard, SendCause::kOverdue) ? 1 : 0;
     }
   }
--- a/src/query/fan_out_session.cc
+++ b/src/query/fan_out_session.cc
@@ -23,7 +23,7 @@
 using upstream::LeafOutcome;
 
 // How often a waiting shard checks for a leaf with capacity.
-constexpr base::Duration kRoomInterval = Milliseconds(5);
+constexpr base::Duration kCapacityCheckInterval = Milliseconds(5);
 // The number of connections that break before any answer after which the
 // request is sent to one leaf at a time. A request that crashes leaves reaches
 // the first leaf of each shard before that can be noticed; without trials it
@@ -51,12 +51,12 @@
       target_due_(request_.is_part
                       ? deadline_
                       : arrived_ + TimeToTarget(route_, request_.waited)),
-      most_leaves_(route_.most_attempts - request_.leaves_of_others),
+      max_leaves_(route_.most_attempts - request_.leaves_of_others),
       shards_(collections.size()),
-      least_answers_(
+      min_answers_(
           request_.is_part || !is_gather()
               ? static_cast<int>(collections.size())
-              : LeastAnswers(route_, static_cast<int>(collections.size()))),
+              : MinAnswers(route_, static_cast<int>(collections.size()))),
       may_have_run_(request_.leaves_of_others > 0) {
   for (std::size_t index = 0; index < collections.size(); ++index) {
     shards_[index].collection = std::move(collections[index]);
@@ -64,14 +64,16 @@
 }
 
 void FanOutSession::Start() {
-  if (time_left() < kLeastTimeLeft || shards_.empty()) {
+  if (time_left() < kMinTimeToSend || shards_.empty()) {
     ConcludeFailed();
     return;
   }
-  is_trying_ = dependencies_->quarantine->StandingOf(request_.fingerprint) !=
-               quarantine::Standing::kClear;
-  if (is_gather() && !request_.is_part && !is_trying_ && !HasRoom()) {
-    is_held_ = true;
+  is_sending_trials_ =
+      dependencies_->quarantine->StandingOf(request_.fingerprint) !=
+      quarantine::Standing::kClear;
+  if (is_gather() && !request_.is_part && !is_sending_trials_ &&
+      !HasCapacity()) {
+    is_waiting_for_capacity_ = true;
     ArmTimer();
     return;
   }
@@ -127,7 +129,7 @@
     LogReplaced(attempt->leaf, is_replaced);
   }
   if (reply.outcome == LeafOutcome::kAnswered) {
-    DidSurvive();
+    DidCompleteSend();
   } else if (reply.outcome == LeafOutcome::kLost) {
     DidLose(*attempt);
   }
@@ -143,7 +145,7 @@
     is_given_up_ = is_given_up_ || is_fatal;
     DidFail(shard, attempt->leaf.name, std::move(reply));
     if (is_given_up_) {
-      SettleOpenShards();
+      FailOpenShards();
     }
   }
   if (!is_finished_) {
@@ -192,7 +194,7 @@
   if (may_repeat && TrySendElsewhere(shard, cause)) {
     return;
   }
-  if (may_repeat && PlanRepeat(shard)) {
+  if (may_repeat && ScheduleRetry(shard)) {
     return;
   }
   Settle(shard, ShardState::kFailed);
@@ -202,15 +204,16 @@
   ++lost_;
   dependencies_->quarantine->DidLose(request_.fingerprint, attempt.leaf,
                                      attempt.sent);
-  is_trying_ = is_trying_ || (lost_ >= kLossesBeforeTrial && answered_ == 0);
+  is_sending_trials_ =
+      is_sending_trials_ || (lost_ >= kLossesBeforeTrial && answered_ == 0);
 }
 
-void FanOutSession::DidSurvive() {
-  is_trying_ = false;
+void FanOutSession::DidCompleteSend() {
+  is_sending_trials_ = false;
   dependencies_->quarantine->DidComplete(request_.fingerprint);
 }
 
-void FanOutSession::SettleOpenShards() {
+void FanOutSession::FailOpenShards() {
   for (Shard& shard : shards_) {
     if (shard.state == ShardState::kOpen) {
       Settle(shard, ShardState::kFailed);
@@ -219,7 +222,7 @@
 }
 
 bool FanOutSession::must_wait_for_trial() const {
-  return is_trying_ &&
+  return is_sending_trials_ &&
          std::any_of(shards_.begin(), shards_.end(),
                      [](const Shard& shard) { return shard.running() > 0; });
 }
@@ -260,19 +263,19 @@
     return;
   }
   const MonotonicTime now = dependencies_->clock.Now();
-  if (is_held_) {
-    LookForRoom(now);
+  if (is_waiting_for_capacity_) {
+    CheckForCapacity(now);
     return;
   }
-  for (Shard* shard : InOrderOfSends()) {
+  for (Shard* shard : ShardsInSendOrder()) {
     if (shard->state == ShardState::kOpen && shard->is_waiting) {
       SendWaiting(*shard, now);
     }
     if (shard->state == ShardState::kOpen && !must_wait_for_trial()) {
-      SendAgain(*shard, now);
+      RetryRefused(*shard, now);
     }
   }
-  SecondSends(now);
+  StartSecondSends(now);
   ConcludeIfDue();
   if (!is_finished_) {
     ArmTimer();
@@ -284,7 +287,7 @@
     return;
   }
   const int total = static_cast<int>(shards_.size());
-  least_answers_ = std::max(0, total - most_missing);
+  min_answers_ = std::max(0, total - most_missing);
   target_due_ = dependencies_->clock.Now();
   ConcludeIfDue();
 }
@@ -293,11 +296,11 @@
   const MonotonicTime now = dependencies_->clock.Now();
   const int total = static_cast<int>(shards_.size());
   const int failed = settled_ - answered_;
-  if (!request_.is_part && total - failed < least_answers_) {
+  if (!request_.is_part && total - failed < min_answers_) {
     ConcludeFailed();
     return;
   }
-  const bool is_enough = answered_ >= least_answers_;
+  const bool is_enough = answered_ >= min_answers_;
   if (settled_ == total || (now >= target_due_ && is_enough)) {
     Conclude();
     return;
@@ -325,10 +328,10 @@
     return;
   }
   if (!is_gather()) {
-    Finish(PassedOn{std::move(shards_.front().reply.message)});
+    Finish(LeafResponse{std::move(shards_.front().reply.message)});
     return;
   }
-  Gathered gathered;
+  MergedRecords gathered;
   std::vector<std::string> parts;
   for (Shard& shard : shards_) {
     if (shard.state == ShardState::kAnswered) {
@@ -346,7 +349,7 @@
   may_have_run_ = may_have_run();
   if (!is_gather() && !shards_.empty() &&
       shards_.front().reply.outcome == LeafOutcome::kFailed) {
-    Finish(PassedOn{std::move(shards_.front().reply.message)});
+    Finish(LeafResponse{std::move(shards_.front().reply.message)});
     return;
   }
   if (may_have_run_) {
@@ -375,8 +378,8 @@
 
 MonotonicTime FanOutSession::NextDue() const {
   const MonotonicTime now = dependencies_->clock.Now();
-  if (is_held_) {
-    return now + kRoomInterval;
+  if (is_waiting_for_capacity_) {
+    return now + kCapacityCheckInterval;
   }
   MonotonicTime due = deadline_;
   if (now < target_due_) {
@@ -386,12 +389,12 @@
     if (shard.state != ShardState::kOpen) {
       continue;
     }
-    const bool is_held = must_wait_for_trial() && shard.again_at <= now;
+    const bool is_held = must_wait_for_trial() && shard.retry_at <= now;
     if (shard.is_waiting || is_held) {
-      due = std::min(due, now + kRoomInterval);
+      due = std::min(due, now + kCapacityCheckInterval);
     }
-    if (shard.again_at != MonotonicTime{} && !is_held) {
-      due = std::min(due, shard.again_at);
+    if (shard.retry_at != MonotonicTime{} && !is_held) {
+      due = std::min(due, shard.retry_at);
     }
     due = std::min(due, shard.SecondSendDue(due));
   }
@@ -417,7 +420,7 @@
   assert(!is_finished_);
   is_finished_ = true;
   timer_.Cancel();
-  SettleOpenShards();
+  FailOpenShards();
   LogAnswer(answer);
   const FanOutSummary summary{dependencies_->clock.Now() - arrived_,
                               static_cast<int>(shards_.size()),
--- a/src/query/fan_out_session.h
+++ b/src/query/fan_out_session.h
@@ -54,9 +54,9 @@
 namespace medlarspread::query {
 
 // No send is started with less time than this left before the deadline.
-constexpr base::Duration kLeastTimeLeft = base::Milliseconds(2);
+constexpr base::Duration kMinTimeToSend = base::Milliseconds(2);
 // A refused caller is told to retry after its latency target divided by this.
-constexpr int kReturnShare = 4;
+constexpr int kRetryAfterDivisor = 4;
 
 struct FanOutDependencies {
   base::Clock clock;
@@ -127,14 +127,14 @@
   using Shard = FanOutShard;
 
   // Whether as many shards as an answer needs have a leaf with capacity.
-  bool HasRoom() const;
+  bool HasCapacity() const;
   void SendAll();
   // The shards in the order in which they are sent. For trials of a suspect
   // request, the order depends on the request identifier.
-  std::vector<Shard*> InOrderOfSends();
+  std::vector<Shard*> ShardsInSendOrder();
   // Starts the request if enough shards have capacity by now; refuses it once
   // it has waited too long.
-  void LookForRoom(base::MonotonicTime now);
+  void CheckForCapacity(base::MonotonicTime now);
   void SendTo(Shard& shard,
               const blackboard::Upstream& leaf,
               SendCause cause,
@@ -148,7 +148,7 @@
   // Whether a send has to be paid for from the budget of extra sends.
   bool is_extra(SendCause cause) const;
   // Why NextLeaf() returned null.
-  SendObstacle WhyNoLeaf(const Shard& shard) const;
+  SendObstacle ObstacleOf(const Shard& shard) const;
   // Retries a shard for which no leaf was available; fails it once it has
   // waited too long.
   void SendWaiting(Shard& shard, base::MonotonicTime now);
@@ -159,19 +159,19 @@
   // Called when a leaf's connection broke during the request, and when a leaf
   // answered it.
   void DidLose(const Attempt& attempt);
-  void DidSurvive();
+  void DidCompleteSend();
   // Fails all open shards; their sends are cancelled or left to linger.
-  void SettleOpenShards();
+  void FailOpenShards();
   // Whether the route allows one more leaf.
   bool MaySendElsewhere(const Shard& shard) const;
   bool MayUse(const Shard& shard, const blackboard::Upstream& leaf) const;
   // Whether the coverage target can still be met if one more shard fails.
-  bool is_one_optional() const;
+  bool can_spare_shard() const;
   // Schedules a retry at a leaf that refused for lack of capacity. Returns
   // false if a retry would not help.
-  bool PlanRepeat(Shard& shard);
+  bool ScheduleRetry(Shard& shard);
   base::Duration RefusalPause() const;
-  void SendAgain(Shard& shard, base::MonotonicTime now);
+  void RetryRefused(Shard& shard, base::MonotonicTime now);
   void DidReply(std::size_t shard,
                 const std::shared_ptr<Attempt>& attempt,
                 upstream::ForwardReply reply);
@@ -185,7 +185,7 @@
   // Timer callback: handles all that is due of second sends, waiting shards,
   // the latency target and the deadline.
   void Wake();
-  void SecondSends(base::MonotonicTime now);
+  void StartSecondSends(base::MonotonicTime now);
   // Whether no more second sends may go out until a shard has answered.
   bool must_await_answer() const;
   void PrepareSecondSend(const Shard& shard);
@@ -211,7 +211,7 @@
   // The delay after which a refused caller should retry: a fraction of its
   // latency target, so that the retry can still be answered in time.
   base::Duration retry_after() const {
-    return route_.targets.latency / kReturnShare;
+    return route_.targets.latency / kRetryAfterDivisor;
   }
   bool is_gather() const;
   bool has(base::Mechanism mechanism) const {
@@ -227,12 +227,12 @@
   Done done_;
   const base::MonotonicTime arrived_;
   const base::MonotonicTime deadline_;
-  // From this time on, `least_answers_` shards are enough for an answer.
+  // From this time on, `min_answers_` shards are enough for an answer.
   base::MonotonicTime target_due_;
   // The maximum number of leaves that one shard may be sent to.
-  const int most_leaves_;
+  const int max_leaves_;
   std::vector<Shard> shards_;
-  int least_answers_;
+  int min_answers_;
   int answered_ = 0;
   int settled_ = 0;
   int sends_ = 0;
@@ -246,10 +246,10 @@
   // Whether a send may have been executed without a usable answer.
   bool may_have_run_;
   // Whether the request is sent to one leaf at a time (step 4).
-  bool is_trying_ = false;
+  bool is_sending_trials_ = false;
   bool is_given_up_ = false;
   // Nothing has been sent yet because too few shards had a leaf with capacity.
-  bool is_held_ = false;
+  bool is_waiting_for_capacity_ = false;
   bool is_finished_ = false;
   base::Error last_error_;
   base::Timer timer_;
--- a/src/query/fan_out_shard.h
+++ b/src/query/fan_out_shard.h
@@ -107,12 +107,12 @@
   std::set<std::string> refused;
   // Whether this shard was already credited to the collection's budget of extra
   // sends.
-  bool has_earned = false;
+  bool is_credited = false;
   // The number of leaves that received the shard, or may have.
   int leaves = 0;
   int sends = 0;
   // When to retry after a refusal; zero if no retry is scheduled.
-  base::MonotonicTime again_at;
+  base::MonotonicTime retry_at;
   SendObstacle obstacle = SendObstacle::kNone;
   // No leaf had capacity; the shard is waiting for one.
   bool is_waiting = false;
--- a/src/query/forward_admission.cc
+++ b/src/query/forward_admission.cc
@@ -22,7 +22,7 @@
 constexpr base::Duration kRetryWhenFull = base::Milliseconds(100);
 // The minimum retry delay of a caller refused because of a backlog: opening a
 // new connection takes about as long.
-constexpr base::Duration kLeastRetryAfter = base::Milliseconds(20);
+constexpr base::Duration kMinRetryAfter = base::Milliseconds(20);
 
 bool AreShardsOf(const blackboard::WorkRoute& route,
                  const upstream::Handover& handover) {
@@ -49,7 +49,7 @@
     refusal.retry_after = kRetryWhenUnknown;
     return refusal;
   }
-  if (in_work_->requests >= options_.most_in_flight) {
+  if (in_flight_->requests >= options_.most_in_flight) {
     refusal.error = base::MakeError(ErrorCode::kOverloaded, Step::kAdmit, "",
                                     "too many requests in flight");
     refusal.retry_after = kRetryWhenFull;
@@ -116,7 +116,7 @@
     const IncomingRequest& request,
     const blackboard::WorkRoute& route,
     const std::vector<std::string>& collections) {
-  admission::BacklogGate& gate = in_work_->gates[collections.front()];
+  admission::BacklogGate& gate = in_flight_->gates[collections.front()];
   const double slots = SlotsOf(collections);
   if (!options_.ablation.has(base::Mechanism::kBacklogGate) ||
       gate.MayEnter(ExpectWork(route, request.waited), slots, clock_.Now())) {
@@ -131,7 +131,7 @@
                           std::to_string(wait.count() / 1000) +
                           " ms at the leaves; route=" + route.targets.name);
   // By then half of the backlog is done.
-  refusal.retry_after = std::max(kLeastRetryAfter, wait / 2);
+  refusal.retry_after = std::max(kMinRetryAfter, wait / 2);
   refusal.kind = RefusalKind::kOverload;
   return refusal;
 }
@@ -153,12 +153,12 @@
 std::shared_ptr<void> ForwardService::EnterGate(
     const blackboard::WorkRoute& route,
     const std::string& gate) {
-  ++in_work_->requests;
-  const std::uint64_t ticket = ++in_work_->tickets;
-  in_work_->gates[gate].DidEnter(ticket, ExpectWork(route, {}), clock_.Now());
-  return {nullptr, [in_work = in_work_, gate, ticket](void*) {
-            --in_work->requests;
-            in_work->gates[gate].DidLeave(ticket);
+  ++in_flight_->requests;
+  const std::uint64_t ticket = ++in_flight_->tickets;
+  in_flight_->gates[gate].DidEnter(ticket, ExpectWork(route, {}), clock_.Now());
+  return {nullptr, [in_flight = in_flight_, gate, ticket](void*) {
+            --in_flight->requests;
+            in_flight->gates[gate].DidLeave(ticket);
           }};
 }
 
--- a/src/query/forward_service.cc
+++ b/src/query/forward_service.cc
@@ -23,8 +23,8 @@
 burn::RequestOutcome OutcomeOf(const ForwardedAnswer& answer) {
   return std::visit(
       base::Overloaded{
-          [](const PassedOn&) { return burn::RequestOutcome::kAnswered; },
-          [](const Gathered&) { return burn::RequestOutcome::kAnswered; },
+          [](const LeafResponse&) { return burn::RequestOutcome::kAnswered; },
+          [](const MergedRecords&) { return burn::RequestOutcome::kAnswered; },
           [](const NoRoute&) { return burn::RequestOutcome::kRefused; },
           [](const Refused&) { return burn::RequestOutcome::kRefused; },
           [](const Unknown&) { return burn::RequestOutcome::kUnknown; }},
@@ -55,7 +55,7 @@
 
 // Starts a session and returns a function that cancels it.
 template <typename Session>
-ForwardService::Abandon StartAndAbandon(std::shared_ptr<Session> session) {
+ForwardService::Abandon StartCancellable(std::shared_ptr<Session> session) {
   session->Start();
   return [session = std::move(session)] { (void)session->Abandon(); };
 }
@@ -177,7 +177,7 @@
           ? aggregators_.For(collections, blackboard_.membership.Read(),
                              Index())
           : routing::AggregatorChoice{};
-  ShareOut(collections, choice);
+  UpdateAllotments(collections, choice);
   if (request.handover) {
     return StartPart(std::move(request), std::move(route), std::move(done));
   }
@@ -189,12 +189,13 @@
   FanOutSession::Done did_end =
       [this, route, asked = clock_.WallMilliseconds(),
        guard = EnterGate(*route, collections.front()),
-       gate = collections.front(), in_work = in_work_, done = std::move(done)](
-          ForwardedAnswer answer, const FanOutSummary& summary) {
+       gate = collections.front(), in_flight = in_flight_,
+       done = std::move(done)](ForwardedAnswer answer,
+                               const FanOutSummary& summary) {
         Record(*route, asked, answer, summary);
         if (std::holds_alternative<Unknown>(answer) && summary.refusals > 0) {
-          in_work->gates[gate].DidOverload(ExpectWork(*route, {}),
-                                           SlotsOf({gate}), clock_.Now());
+          in_flight->gates[gate].DidOverload(ExpectWork(*route, {}),
+                                             SlotsOf({gate}), clock_.Now());
         }
         done(std::move(answer));
       };
@@ -212,7 +213,7 @@
   if (is_handed_on) {
     return StartGather(std::move(forwarded), choice.parts, std::move(did_end));
   }
-  return StartAndAbandon(FanOutHere(
+  return StartCancellable(FanOutHere(
       std::move(forwarded), std::move(collections), std::move(did_end)));
 }
 
@@ -220,11 +221,11 @@
     IncomingRequest request,
     routing::RouteTable::RoutePointer route,
     ForwardedCallback done) {
-  ++in_work_->requests;
+  ++in_flight_->requests;
   const std::shared_ptr<void> guard(
-      nullptr, [in_work = in_work_, id = request.request_id](void*) {
-        --in_work->requests;
-        in_work->parts_for_peers.erase(id);
+      nullptr, [in_flight = in_flight_, id = request.request_id](void*) {
+        --in_flight->requests;
+        in_flight->parts_for_peers.erase(id);
       });
   std::vector<std::string> shards = std::move(request.handover->shards);
   const int leaves_of_others = request.handover->leaves_of_others;
@@ -240,8 +241,8 @@
                    ports_.did_fan_out_for_peer(summary.sends);
                    done(AnswerForPeer(std::move(answer)));
                  });
-  in_work_->parts_for_peers[id] = session;
-  return StartAndAbandon(std::move(session));
+  in_flight_->parts_for_peers[id] = session;
+  return StartCancellable(std::move(session));
 }
 
 ForwardedRequest ForwardService::MakeForwarded(
@@ -272,7 +273,7 @@
       return MakePart(request, part, std::move(did_end));
     });
   }
-  return StartAndAbandon(std::move(session));
+  return StartCancellable(std::move(session));
 }
 
 GatherPart ForwardService::MakePart(const ForwardedRequest& request,
@@ -303,9 +304,9 @@
 
 std::optional<int> ForwardService::CheckPart(const std::string& request_id,
                                              std::optional<int> most_missing) {
-  const auto row = in_work_->parts_for_peers.find(request_id);
+  const auto row = in_flight_->parts_for_peers.find(request_id);
   const auto session =
-      row == in_work_->parts_for_peers.end() ? nullptr : row->second.lock();
+      row == in_flight_->parts_for_peers.end() ? nullptr : row->second.lock();
   if (!session) {
     return std::nullopt;
   }
@@ -316,8 +317,9 @@
   return missing;
 }
 
-void ForwardService::ShareOut(const std::vector<std::string>& collections,
-                              const routing::AggregatorChoice& choice) {
+void ForwardService::UpdateAllotments(
+    const std::vector<std::string>& collections,
+    const routing::AggregatorChoice& choice) {
   admission::Senders everybody;
   everybody.daemons =
       static_cast<int>(blackboard_.membership.Read()->members.size());
--- a/src/query/forward_service.h
+++ b/src/query/forward_service.h
@@ -91,7 +91,7 @@
   std::optional<int> CheckPart(const std::string& request_id,
                                std::optional<int> most_missing);
 
-  int in_flight() const { return in_work_->requests; }
+  int in_flight() const { return in_flight_->requests; }
   // This daemon's share of the load on the collection's leaves, 0 to 1.
   double PartOf(const std::string& collection) const;
 
@@ -103,7 +103,7 @@
   };
 
   // Requests in progress. Shared, since sessions may outlive the service.
-  struct InWork {
+  struct InFlight {
     int requests = 0;
     // Keyed by the first collection that the requests go to.
     std::map<std::string, admission::BacklogGate> gates;
@@ -158,8 +158,8 @@
                                             std::vector<std::string> shards,
                                             FanOutSession::Done done);
   // Updates the allotments of `collections` to the current set of daemons.
-  void ShareOut(const std::vector<std::string>& collections,
-                const routing::AggregatorChoice& choice);
+  void UpdateAllotments(const std::vector<std::string>& collections,
+                        const routing::AggregatorChoice& choice);
   const routing::RouteTable& Routes();
   std::shared_ptr<const routing::LeafIndex> Index();
   admission::ExtraSendBudget& BudgetOf(const std::string& collection);
@@ -186,7 +186,7 @@
   routing::AggregatorTable aggregators_;
   // Keyed by collection.
   std::map<std::string, Allotment> allotments_;
-  const std::shared_ptr<InWork> in_work_ = std::make_shared<InWork>();
+  const std::shared_ptr<InFlight> in_flight_ = std::make_shared<InFlight>();
 };
 
 }  // namespace medlarspread::query
--- a/src/query/forwarded_request.cc
+++ b/src/query/forwarded_request.cc
@@ -8,11 +8,11 @@
 
 std::string Describe(const ForwardedAnswer& answer) {
   return std::visit(
-      base::Overloaded{[](const PassedOn& passed) {
+      base::Overloaded{[](const LeafResponse& passed) {
                          return "passed on status " +
                                 std::to_string(passed.message.result_int());
                        },
-                       [](const Gathered& gathered) {
+                       [](const MergedRecords& gathered) {
                          return "answered, " +
                                 std::to_string(gathered.missing) +
                                 " shards missing";
--- a/src/query/forwarded_request.h
+++ b/src/query/forwarded_request.h
@@ -45,12 +45,12 @@
 };
 
 // The response of a leaf, passed on unchanged; may be an error response.
-struct PassedOn {
+struct LeafResponse {
   http1::Response message;
 };
 
 // The greatest records of all shards that answered.
-struct Gathered {
+struct MergedRecords {
   std::string records;
   // One proof for each shard that answered.
   std::vector<std::string> proofs;
@@ -63,7 +63,7 @@
 // Refused means that the request was not and will not be executed; Unknown
 // means that it may have been.
 using ForwardedAnswer =
-    std::variant<PassedOn, Gathered, NoRoute, Refused, Unknown>;
+    std::variant<LeafResponse, MergedRecords, NoRoute, Refused, Unknown>;
 // Describes the answer for the log.
 std::string Describe(const ForwardedAnswer& answer);
 
--- a/src/query/gather_session.cc
+++ b/src/query/gather_session.cc
@@ -123,22 +123,22 @@
   part.result->missing = part.shards;
   std::visit(
       base::Overloaded{
-          [&](Gathered& gathered) { part.result = std::move(gathered); },
+          [&](MergedRecords& gathered) { part.result = std::move(gathered); },
           [&](Refused& refused) { last_error_ = std::move(refused.error); },
           [&](Unknown& unknown) {
             may_have_run_ = true;
             last_error_ = std::move(unknown.error);
           },
-          [](PassedOn&) {}, [](NoRoute&) {}},
+          [](LeafResponse&) {}, [](NoRoute&) {}},
       answer);
   part.missing = part.result->missing;
-  bool are_all_in = true;
-  int missing_for_good = 0;
+  bool have_all_ended = true;
+  int missing_from_ended = 0;
   for (const Part& other : parts_) {
-    are_all_in = are_all_in && other.result;
-    missing_for_good += other.result ? other.missing : 0;
+    have_all_ended = have_all_ended && other.result;
+    missing_from_ended += other.result ? other.missing : 0;
   }
-  if (are_all_in || missing_for_good > most_missing()) {
+  if (have_all_ended || missing_from_ended > most_missing()) {
     Conclude();
     return;
   }
@@ -152,16 +152,16 @@
     return;
   }
   for (Part& part : parts_) {
-    if (is_finished_ || part.result || part.told == part.missing) {
+    if (is_finished_ || part.result || part.last_relaxed_to == part.missing) {
       continue;
     }
-    part.told = part.missing;
+    part.last_relaxed_to = part.missing;
     part.work.relax(part.missing);
   }
 }
 
 void GatherSession::Conclude() {
-  Gathered gathered;
+  MergedRecords gathered;
   std::vector<std::string> records;
   for (Part& part : parts_) {
     if (!part.result) {
@@ -179,7 +179,7 @@
   may_have_run_ = may_have_run_ || summary_.answered > 0;
   const auto& all =
       std::get<blackboard::AllShards>(request_.route->destination);
-  if (summary_.answered >= LeastAnswers(*request_.route, total())) {
+  if (summary_.answered >= MinAnswers(*request_.route, total())) {
     gathered.records = TopRecords(records, all.most_records);
     Finish(std::move(gathered));
     return;
@@ -232,7 +232,7 @@
 }
 
 int GatherSession::most_missing() const {
-  return total() - LeastAnswers(*request_.route, total());
+  return total() - MinAnswers(*request_.route, total());
 }
 
 }  // namespace medlarspread::query
--- a/src/query/gather_session.h
+++ b/src/query/gather_session.h
@@ -87,10 +87,10 @@
     // The last reported number; an upper bound, since it never increases.
     int missing = 0;
     // The last `most_missing` that the part was told.
-    std::optional<int> told;
+    std::optional<int> last_relaxed_to;
     // Set once the part has ended. If it failed, there are no records and all
     // shards are missing.
-    std::optional<Gathered> result;
+    std::optional<MergedRecords> result;
   };
 
   // Asks the open parts how many shards are missing, now and then periodically.
--- a/src/query/handover_session.cc
+++ b/src/query/handover_session.cc
@@ -18,7 +18,7 @@
 
 // The round trip to the peer, deducted so that its answer still reaches the
 // caller in time.
-constexpr base::Duration kWayThere = Milliseconds(4);
+constexpr base::Duration kPeerRoundTrip = Milliseconds(4);
 // The first probe, which checks whether the peer has started at all, is sent
 // after this percentage of the latency target, and its answer is awaited for
 // the percentage below: it comes within some milliseconds, also from a
@@ -39,9 +39,9 @@
 // retries. The same applies to a peer that never confirmed that it works on the
 // part: its answer to the probe may be late because this daemon's own link is
 // busy.
-constexpr int kLeavesOfPeer = 2;
+constexpr int kAssumedPeerLeaves = 2;
 // No repeat is started with less time left than this.
-constexpr base::Duration kLeastForRepeat = Milliseconds(20);
+constexpr base::Duration kMinTimeForRepeat = Milliseconds(20);
 
 blackboard::Upstream AsUpstream(const blackboard::Member& peer) {
   blackboard::Upstream upstream;
@@ -80,7 +80,8 @@
   terms.leaves_of_others = request_.leaves_of_others;
   call_ = dependencies_->peers.send(
       peer_,
-      {request_.request_id, request_.message, time_left() - kWayThere, terms},
+      {request_.request_id, request_.message, time_left() - kPeerRoundTrip,
+       terms},
       [self = shared_from_this()](ForwardReply reply) {
         self->DidReply(std::move(reply));
       });
@@ -120,7 +121,7 @@
   }
   dependencies_->health->DidAnswer(peer_.name);
   const int answered = static_cast<int>(reply.shard_proofs.size());
-  Gathered gathered;
+  MergedRecords gathered;
   gathered.records = std::move(reply.message.body());
   gathered.proofs = std::move(reply.shard_proofs);
   gathered.missing = shard_count() - answered;
@@ -131,12 +132,12 @@
   dependencies_->log.DidFail(reply.error, "an aggregator failed",
                              request_.request_id);
   last_error_ = reply.error;
-  const bool is_peers_word = reply.outcome == LeafOutcome::kFailed;
+  const bool did_peer_report_failure = reply.outcome == LeafOutcome::kFailed;
   const bool did_not_run = !upstream::MayHaveRun(reply.outcome);
   is_peer_unknown_ = !did_not_run;
   // A peer that refuses is alive: it is stopping, or its routes differ for a
   // short time.
-  if (!is_peers_word && reply.outcome != LeafOutcome::kShed) {
+  if (!did_peer_report_failure && reply.outcome != LeafOutcome::kShed) {
     (void)dependencies_->health->DidFail(peer_.name);
   }
   if (is_elsewhere_running_) {
@@ -144,7 +145,7 @@
   }
   // A peer that reports a failure has tried everything that this daemon could
   // try.
-  if (is_peers_word || elsewhere_) {
+  if (did_peer_report_failure || elsewhere_) {
     FinishUnknown();
     return;
   }
@@ -240,9 +241,9 @@
   ForwardedRequest request = MakeLaterRequest();
   // The peer may be working on the part while its confirmation is late, so
   // sends of its replacement must be paid for.
-  request.leaves_of_others += has_left ? kLeavesOfPeer : 0;
+  request.leaves_of_others += has_left ? kAssumedPeerLeaves : 0;
   if (request.route->most_attempts <= request.leaves_of_others ||
-      time_left() < kLeastForRepeat) {
+      time_left() < kMinTimeForRepeat) {
     FinishUnknown();
     return;
   }
@@ -256,10 +257,10 @@
 
 void HandoverSession::FanOutHere(bool is_repeat) {
   ForwardedRequest request = MakeLaterRequest();
-  request.leaves_of_others += is_repeat ? kLeavesOfPeer : 0;
+  request.leaves_of_others += is_repeat ? kAssumedPeerLeaves : 0;
   const bool may_repeat =
       request.route->most_attempts > request.leaves_of_others;
-  const bool is_too_late = time_left() < kLeastForRepeat;
+  const bool is_too_late = time_left() < kMinTimeForRepeat;
   if (is_repeat && (!may_repeat || is_too_late)) {
     FinishUnknown();
     return;
@@ -299,7 +300,7 @@
     return;
   }
   // The peer may still answer.
-  if (is_peer_running_ && !std::holds_alternative<Gathered>(answer)) {
+  if (is_peer_running_ && !std::holds_alternative<MergedRecords>(answer)) {
     return;
   }
   if (is_peer_unknown_ && std::holds_alternative<Refused>(answer)) {
--- a/src/query/query_session.cc
+++ b/src/query/query_session.cc
@@ -20,11 +20,11 @@
 
 constexpr double kTolerance = 1e-9;
 // The interval at which a session checks for silent owners of its shards.
-constexpr Duration kSilenceCheck = base::Milliseconds(50);
+constexpr Duration kSilenceCheckInterval = base::Milliseconds(50);
 // The maximum number of daemons that are asked for one shard.
-constexpr int kMostTries = 3;
+constexpr int kMaxTries = 3;
 // The maximum number of snapshots that one query is started with.
-constexpr int kMostSnapshots = 3;
+constexpr int kMaxSnapshots = 3;
 // Used when no retry delay is known.
 constexpr Duration kDefaultRetryAfter = base::Milliseconds(1000);
 
@@ -169,8 +169,8 @@
     shards_[range] = Shard{};
   }
   Ask(plan_->ranges);
-  silence_timer_ =
-      runner_.After(kSilenceCheck, Guarded(&QuerySession::LookForSilentOwners));
+  silence_timer_ = runner_.After(kSilenceCheckInterval,
+                                 Guarded(&QuerySession::CheckForSilentOwners));
 }
 
 // Step 4. Shards with the same owner are sent in one message.
@@ -289,7 +289,7 @@
                                const Shard& shard,
                                const ShardResult& result) {
   const bool is_unknown = result.outcome == ShardOutcome::kUnknown;
-  if (shard.tries >= kMostTries || (is_unknown && is_at_most_once()) ||
+  if (shard.tries >= kMaxTries || (is_unknown && is_at_most_once()) ||
       dependencies_->clock.Now() >= deadline_ ||
       !HasDestination(range, shard)) {
     return false;
@@ -314,7 +314,7 @@
 // still exists then. Never restarts an at-most-once request, because its other
 // shards have been executed already.
 bool QuerySession::TryOtherSnapshot() {
-  if (is_at_most_once() || generation_ >= kMostSnapshots) {
+  if (is_at_most_once() || generation_ >= kMaxSnapshots) {
     return false;
   }
   gone_.insert(plan_->snapshot);
@@ -342,12 +342,12 @@
 
 // A frozen daemon keeps its connections open. Its unanswered shards are sent to
 // the next owner, within the retry budget.
-void QuerySession::LookForSilentOwners() {
+void QuerySession::CheckForSilentOwners() {
   const auto now = dependencies_->clock.Now();
   std::vector<KeyRange> again;
   for (auto& [range, shard] : shards_) {
     if (shard.state != ShardState::kWaiting || is_at_most_once() ||
-        shard.tries >= kMostTries ||
+        shard.tries >= kMaxTries ||
         now - shard.asked < routing::SubQueryClient::kSilence ||
         !dependencies_->sub_queries->is_silent(shard.owner)) {
       continue;
@@ -363,8 +363,8 @@
     Ask(again);
   }
   if (!is_finished_) {
-    silence_timer_ = runner_.After(kSilenceCheck,
-                                   Guarded(&QuerySession::LookForSilentOwners));
+    silence_timer_ = runner_.After(
+        kSilenceCheckInterval, Guarded(&QuerySession::CheckForSilentOwners));
   }
 }
 
--- a/src/query/query_session.h
+++ b/src/query/query_session.h
@@ -101,7 +101,7 @@
   bool HasDestination(const blackboard::KeyRange& range,
                       const Shard& shard) const;
   bool TryOtherSnapshot();
-  void LookForSilentOwners();
+  void CheckForSilentOwners();
   void TargetIsDue();
   void DeadlineIsDue();
   void ConcludeIfSettled();
--- a/src/query/route_targets.h
+++ b/src/query/route_targets.h
@@ -35,7 +35,7 @@
 }
 
 // The minimum number of shards that an answer needs; at least one.
-inline int LeastAnswers(const blackboard::WorkRoute& route, int shards) {
+inline int MinAnswers(const blackboard::WorkRoute& route, int shards) {
   // 0.9 of 10 must give 9 whatever the rounding of the binary product.
   constexpr double kRounding = 1e-9;
   const double least = route.targets.coverage * static_cast<double>(shards);
--- a/tests/platform/codec_test.cc
+++ b/tests/platform/codec_test.cc
@@ -53,7 +53,7 @@
 
 TEST(CallerCodecTest, GatheredNamesProofsAndWhatIsMissing) {
   const Response response =
-      EncodeAnswer(query::Gathered{"records", {"p1", "p2"}, 3});
+      EncodeAnswer(query::MergedRecords{"records", {"p1", "p2"}, 3});
   EXPECT_EQ(response.result(), Status::ok);
   EXPECT_EQ(response[kShardProofs], "p1, p2");
   EXPECT_EQ(response[kMissingShards], "3");
@@ -77,7 +77,7 @@
 }
 
 TEST(CallerCodecTest, PassesALeafsAnswerOnUnchanged) {
-  query::PassedOn passed;
+  query::LeafResponse passed;
   passed.message.result(Status::internal_server_error);
   passed.message.set(kLeafProof, "p");
   passed.message.set(http::field::connection, "close");
--- a/tests/query/forward_service_test.cc
+++ b/tests/query/forward_service_test.cc
@@ -174,7 +174,7 @@
   leaves_.Answer(2, "");
   EXPECT_FALSE(answer_.has_value());
   leaves_.Answer(3, Record('y'));
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->records, Record('z') + Record('y'));
   EXPECT_EQ(gathered->missing, 0);
@@ -190,7 +190,7 @@
   Advance(50);
   EXPECT_FALSE(answer_.has_value());
   Advance(40);
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->missing, 1);
   EXPECT_EQ(gathered->proofs.size(), 3U);
@@ -205,7 +205,7 @@
   Advance(200);
   EXPECT_FALSE(answer_.has_value());
   leaves_.Answer(2, Record('a'));
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
 }
 
 TEST_F(ForwardServiceTest, AtTheDeadlineItSaysThatTheRequestMayHaveRun) {
@@ -229,7 +229,7 @@
   EXPECT_EQ(leaves_.sent()[4].leaf.collection, "shard3");
   EXPECT_NE(leaves_.sent()[4].leaf.name, leaves_.sent()[3].leaf.name);
   leaves_.Answer(4, Record('a'));
-  ASSERT_NE(AnswerAs<Gathered>(), nullptr);
+  ASSERT_NE(AnswerAs<MergedRecords>(), nullptr);
   // The send to the slow leaf lingers, so that its late reply can still be
   // measured.
   EXPECT_TRUE(leaves_.sent()[3].is_lingering);
@@ -351,7 +351,7 @@
   leaves_.Fail(0, LeafOutcome::kUnreachable);
   ASSERT_EQ(leaves_.sent().size(), 2U);
   leaves_.Answer(1, "body");
-  const auto* passed = AnswerAs<PassedOn>();
+  const auto* passed = AnswerAs<LeafResponse>();
   ASSERT_NE(passed, nullptr);
   EXPECT_EQ(passed->message.body(), "body");
 }
@@ -438,7 +438,7 @@
   SetRoute(OneCollection{"single"}, false);
   Submit();
   leaves_.Fail(0, LeafOutcome::kFailed);
-  const auto* passed = AnswerAs<PassedOn>();
+  const auto* passed = AnswerAs<LeafResponse>();
   ASSERT_NE(passed, nullptr);
   EXPECT_EQ(passed->message.result(), http1::Status::internal_server_error);
 }
@@ -458,7 +458,7 @@
   for (std::size_t shard = 0; shard < 3; ++shard) {
     leaves_.Answer(shard, "");
   }
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->missing, 1);
 }
@@ -808,7 +808,7 @@
   EXPECT_EQ(call.handover->shards.size(), 4U);
   EXPECT_LT(call.time_left, Milliseconds(800));
   AnswerPeer(0, 4);
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->records, Record('a'));
   EXPECT_EQ(gathered->missing, 0);
@@ -828,7 +828,7 @@
   AnswerPeer(1, 2, 'y');
   EXPECT_FALSE(answer_.has_value());
   AnswerPeer(0, 2, 'z');
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->records, Record('z') + Record('y'));
   EXPECT_EQ(gathered->proofs.size(), 4U);
@@ -856,7 +856,7 @@
   EXPECT_EQ(peers_.sent()[11].call.handover->most_missing, 0);
   AnswerPeer(0, 1);
   AnswerPeer(1, 2);
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->missing, 1);
   EXPECT_EQ(gathered->proofs.size(), 3U);
@@ -904,7 +904,7 @@
   Submit();
   AnswerPeer(0, 2);
   KeepAliveUntilDeadline(1);
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->proofs.size(), 2U);
   EXPECT_EQ(gathered->missing, 2);
@@ -923,7 +923,7 @@
   peers_.Fail(0, LeafOutcome::kShed);
   ASSERT_EQ(leaves_.sent().size(), 4U);
   AnswerLeaves(0);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
   // A peer that refused is still used for the next request.
   Submit();
   EXPECT_EQ(peers_.sent().size(), 2U);
@@ -965,7 +965,7 @@
   peers_.Fail(0, LeafOutcome::kLost);
   ASSERT_EQ(leaves_.sent().size(), 4U);
   AnswerLeaves(0);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
   // The peer is not used for a while.
   Submit();
   EXPECT_EQ(peers_.sent().size(), 1U);
@@ -995,7 +995,7 @@
   Advance(kUntilProbeIsMissed);
   EXPECT_TRUE(leaves_.sent().empty());
   AnswerPeer(0, 4);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
 }
 
 TEST_F(HandoverTest, ASilentPeerIsReplacedAndTheFirstAnswerCounts) {
@@ -1004,7 +1004,7 @@
   Advance(kUntilProbeIsMissed);
   ASSERT_EQ(leaves_.sent().size(), 4U);
   AnswerLeaves(0);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
   EXPECT_TRUE(peers_.sent()[0].is_cancelled);
   // The next request is not sent to the peer.
   Submit();
@@ -1050,7 +1050,7 @@
   for (std::size_t send = 1; send < 4; ++send) {
     leaves_.Answer(send, Record('a'));
   }
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
 }
 
 TEST_F(HandoverTest, TheNextPeerTakesThePlaceOfASilentOne) {
@@ -1065,7 +1065,7 @@
   EXPECT_EQ(peers_.sent()[2].call.handover->leaves_of_others, 2);
   EXPECT_TRUE(leaves_.sent().empty());
   AnswerPeer(2, 4);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
 }
 
 // Two silent peers use up three attempts.
@@ -1092,7 +1092,7 @@
   EXPECT_TRUE(peers_.sent()[0].is_cancelled);
   ASSERT_EQ(leaves_.sent().size(), 4U);
   AnswerLeaves(0);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
 }
 
 TEST_F(HandoverTest, ARepeatUsesNoMoreLeavesThanTheRouteLeavesIt) {
@@ -1114,7 +1114,7 @@
   }
   EXPECT_FALSE(answer_.has_value());
   Advance(kUntilChecked - kUntilProbe - kUntilProbeIsMissed);
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->missing, 1);
 }
@@ -1125,7 +1125,7 @@
   Advance(kUntilProbeIsMissed);
   ASSERT_EQ(leaves_.sent().size(), 4U);
   AnswerPeer(0, 4);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
   for (const auto& sent : leaves_.sent()) {
     EXPECT_TRUE(sent.is_cancelled);
   }
@@ -1174,7 +1174,7 @@
   EXPECT_EQ(leaves_.sent()[1].leaf.collection, "shard2");
   leaves_.Answer(0, Record('a'));
   leaves_.Answer(1, Record('b'));
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->missing, 0);
   EXPECT_TRUE(records_.empty());
@@ -1191,7 +1191,7 @@
   EXPECT_EQ(service_.CheckPart("id-2", 0), 1);
   EXPECT_FALSE(answer_.has_value());
   EXPECT_EQ(service_.CheckPart("id-2", 1), 1);
-  const auto* gathered = AnswerAs<Gathered>();
+  const auto* gathered = AnswerAs<MergedRecords>();
   ASSERT_NE(gathered, nullptr);
   EXPECT_EQ(gathered->missing, 1);
 }
@@ -1201,7 +1201,7 @@
   EXPECT_EQ(service_.CheckPart("id-2", 1), 2);
   EXPECT_FALSE(answer_.has_value());
   leaves_.Answer(1, Record('b'));
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
 }
 
 TEST_F(TakeoverTest, AtTheDeadlineAPartAnswersWithWhatIsIn) {
@@ -1209,7 +1209,7 @@
   leaves_.Answer(0, Record('a'));
   constexpr int kUntilDeadline = 789;
   Advance(kUntilDeadline);
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
 }
 
 TEST_F(TakeoverTest, APeerThatLeavesCancelsItsPart) {
@@ -1343,7 +1343,7 @@
   for (std::size_t index = 1; index < 4; ++index) {
     leaves_.Answer(index, Record('b'));
   }
-  EXPECT_NE(AnswerAs<Gathered>(), nullptr);
+  EXPECT_NE(AnswerAs<MergedRecords>(), nullptr);
   EXPECT_EQ(quarantine_->StandingOf(RequestFingerprint()),
             quarantine::Standing::kClear);
 }
