--- a/src/quarantine/fingerprint.cc
+++ b/src/quarantine/fingerprint.cc
@@ -1,4 +1,4 @@
-// SHA-256 over the parts, each with its length before it.
+// Computes SHA-256 over the parts of a request, each preceded by its length.
 
 #include "src/quarantine/fingerprint.h"
 
@@ -15,7 +15,7 @@
 constexpr unsigned kDigitBits = 4;
 constexpr unsigned kDigitMask = 0xf;
 
-// The length keeps ("ab", "c") apart from ("a", "bc").
+// The length prefix distinguishes ("ab", "c") from ("a", "bc").
 void Add(SHA256_CTX& hash, std::string_view part) {
   const std::uint64_t length = part.size();
   SHA256_Update(&hash, &length, sizeof(length));
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -1,5 +1,6 @@
-// What makes two requests the same work for a leaf, whoever tries and under
-// whatever identifier: method, host, target and body.
+// Identifies equal requests: two requests with the same method, host, target
+// and body are the same work for a leaf, whichever caller or retry sends them
+// and whatever their request identifiers are.
 
 #ifndef MEDLARSPREAD_QUARANTINE_FINGERPRINT_H_
 #define MEDLARSPREAD_QUARANTINE_FINGERPRINT_H_
@@ -15,8 +16,9 @@
 
 namespace medlarspread::quarantine {
 
-// The first 16 bytes of a SHA-256: all daemons of all starts compute the same,
-// and no caller can find a request that has the fingerprint of another one.
+// The first 16 bytes of a SHA-256 digest. All daemons compute the same value,
+// also across restarts, and a caller cannot construct a request with the
+// fingerprint of another one.
 struct Fingerprint {
   static constexpr std::size_t kBytes = 16;
 
@@ -28,12 +30,12 @@
   friend auto operator<=>(const Fingerprint&, const Fingerprint&) = default;
 };
 
-// Headers don't count: they differ from try to try.
+// Header fields are not included, since they differ between retries.
 Fingerprint FingerprintOf(std::string_view host, const http1::Request& request);
 
 // As 32 hexadecimal digits, for logs, keys and operators.
 std::string ToText(const Fingerprint& fingerprint);
-// Absent if the text is not what ToText() writes.
+// Absent if the text does not have the format of ToText().
 std::optional<Fingerprint> FingerprintFromText(std::string_view text);
 
 }  // namespace medlarspread::quarantine
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -1,4 +1,4 @@
-// From a lost connection to a conviction.
+// Handles lost connections, reports of other daemons, and convictions.
 
 #include "src/quarantine/quarantine.h"
 
@@ -15,32 +15,34 @@
 using blackboard::QuarantineEntry;
 using blackboard::QuarantineState;
 
-// Each time another strong daemon of each failure domain passes the report on.
-// Where one datagram in ten is lost on each of two ways, 7 daemons in 1,000
-// hear of none of three.
+// The number of times that each report is sent. Each time, another strong
+// daemon of each failure domain forwards it. If one in ten datagrams is lost on
+// each of two hops, 7 of 1,000 daemons receive none of the three.
 constexpr int kTellings = 3;
-// Reports that wait to be told; with six a tenth of a second, those of half a
-// second. Older ones give way: they were told at least once.
+// The maximum number of reports waiting to be sent; at six per 100 ms this is
+// half a second's worth. Beyond it the oldest are dropped, which have been sent
+// at least once.
 constexpr std::size_t kMostTellings = 30;
-// Leaves whose address is called at once; requests lost with one of them.
+// The maximum number of leaves probed at the same time, and of requests
+// recorded for each of them.
 constexpr std::size_t kMostChecks = 64;
 constexpr std::size_t kMostRunsOfCheck = 32;
-// How often a conviction is told again that is not in the store: often enough
-// for a daemon that has just started to hear of it before callers reach it for
-// long.
+// The interval at which a conviction that is not in the store is reported
+// again: short enough that a daemon that has just started learns of it before
+// it has received callers' requests for long.
 constexpr base::Duration kTellAgain = base::Milliseconds(1'000);
-// Of all daemons so many tell it again each time.
+// The average number of daemons that report it again in each interval.
 constexpr double kTellersAgain = 8.0;
-// How long a caller should stay away: a verdict stands until an operator lifts
-// it.
+// The retry delay of a convicted request, which stays blocked until an operator
+// lifts the verdict.
 constexpr base::Duration kRetryAfterVerdict = base::Milliseconds(60'000);
 
-// A release that can't live is taken back within some minutes; callers of a
-// request that was convicted with it wait no longer than this.
+// A faulty release is rolled back within some minutes; callers of a request
+// that was convicted because of it wait at most this long.
 constexpr base::Duration kRetrialAfter = base::Milliseconds(60'000);
-// The way of a datagram, to the farthest region and over two daemons, makes the
-// times of what is heard look later by up to so much: two leaves that ended at
-// the same moment must not look like one after the other.
+// The delay of a datagram to the farthest region over two hops makes reported
+// times appear later by up to this much. Without this correction, two leaves
+// that ended at the same moment could look as if one ended after the other.
 constexpr base::Duration kHearingError = base::Milliseconds(20);
 constexpr std::size_t kMostRefusals = 4096;
 
@@ -119,7 +121,7 @@
   log_.Write({.level = base::LogLevel::kWarning,
               .step = base::Step::kAdmit,
               .message = "fingerprint " + ToText(fingerprint) +
-                         " is tried once more, at one leaf"});
+                         " is sent once more, to one leaf"});
   return true;
 }
 
@@ -169,7 +171,7 @@
        .step = base::Step::kReadUpstream,
        .peer = check.mapped().address,
        .message = "leaf " + leaf +
-                  " has ended with these fingerprints in work:" + requests});
+                  " has ended while executing these fingerprints:" + requests});
   for (const auto& [fingerprint, run] : check.mapped().runs) {
     const int rounds = ledger_.RoundsOf(fingerprint);
     DidEndLeaf(fingerprint, run);
@@ -196,7 +198,7 @@
                 .step = base::Step::kAdmit,
                 .message = std::string("fingerprint ") + ToText(fingerprint) +
                            " is " + kStandingNames.NameOf(after) + ": leaf " +
-                           run.leaf + " ended under it"});
+                           run.leaf + " ended while executing it"});
   }
 }
 
@@ -224,7 +226,7 @@
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kAdmit,
               .message = "fingerprint " + ToText(fingerprint) +
-                         " is clear: a run of it has completed"});
+                         " is cleared: one of its runs has completed"});
 }
 
 std::vector<RunReport> Quarantine::TakeReports(std::size_t most) {
@@ -252,18 +254,20 @@
     ports_.did_convict();
     const QuarantineEntry entry{QuarantineState::kConvicted,
                                 clock_.WallMilliseconds(), evidence};
-    // All that have heard of the evidence convict within a moment; one writes.
+    // All daemons that received the evidence convict within a short time; one
+    // of them writes the verdict.
     if (conviction.is_own) {
       ports_.record(fingerprint, entry);
     } else {
       ports_.record_if_missing(fingerprint, entry);
     }
     Tell({fingerprint, RunFinding::kConvicted, now, now, ""});
-    log_.Write({.level = base::LogLevel::kError,
-                .step = base::Step::kAdmit,
-                .message = "fingerprint " + ToText(fingerprint) +
-                           " is convicted and reaches no leaf any more; " +
-                           "ended under it: " + evidence});
+    log_.Write(
+        {.level = base::LogLevel::kError,
+         .step = base::Step::kAdmit,
+         .message = "fingerprint " + ToText(fingerprint) +
+                    " is convicted and is not sent to any leaf; " +
+                    "leaves that ended while executing it: " + evidence});
   }
 }
 
@@ -278,7 +282,7 @@
   const std::set<Fingerprint> convicted = ledger_.convicted();
   for (const Fingerprint& fingerprint : convicted) {
     if (RecordedState(fingerprint)) {
-      // From now on the store's word counts, whatever it says later.
+      // From now on the state in the store is binding, also if it changes.
       ledger_.Forget(fingerprint);
     } else if (random_->Unit() * daemons < kTellersAgain) {
       Tell({fingerprint, RunFinding::kConvicted, now, now, ""});
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -1,25 +1,26 @@
-// Keeps requests that end the leaves that run them from reaching any more.
+// Blocks requests that crash the leaves that execute them.
 //
 // Steps:
-//   1. A session tells of each send whose connection ended before an answer.
-//      That may be a connection only: the leaf's address is called, and what
-//      refuses a connection then was a process and is gone. One that answers
-//      lives; one that is silent has lost its power or its link, and no request
-//      is to blame for that.
-//   2. The ledger notes the end under each request that was in work there, and
-//      judges (suspect_ledger.h).
-//   3. Ends that add to the evidence, completions of suspects and convictions
-//      go to all daemons: at once, since a caller's next try is at another
-//      daemon within some 10 ms, and kTellings times, since datagrams may be
-//      lost.
-//   4. Where a whole service ends again and again, after a release that can't
-//      live, what it was asked most is convicted too. So one try of each
-//      convicted request may reach one leaf, kRetrialAfter later, at the one
-//      daemon that rendezvous hashing names. An answer clears it; otherwise
-//      only an operator does.
-//   5. A conviction goes into the store, from where every daemon learns it that
-//      starts later or was away. While the store has not taken it, it is told
-//      again and again.
+//   1. A session reports each send whose connection broke before an answer.
+//      Only the connection may have been lost, so the leaf's address is probed:
+//      if it refuses a connection, the leaf's process has ended. If it accepts
+//      one, the process is alive; if it does not respond, the machine has lost
+//      its power or its link, for which no request is to blame.
+//   2. The ledger records the end of the process under each request that was
+//      running at the leaf, and judges these requests (suspect_ledger.h).
+//   3. Ends that add to the evidence, completions of suspects, and convictions
+//      are reported to all daemons: at once, since a caller's next retry
+//      reaches another daemon within some 10 ms, and kReportSends times, since
+//      datagrams may be lost.
+//   4. If a whole service crashes repeatedly, such as after a faulty release,
+//      its most frequent requests are convicted too. So one retry of each
+//      convicted request may be sent to one leaf, by the one daemon that
+//      rendezvous hashing selects, and no earlier than kRetrialAfter after that
+//      daemon first refused the request. An answer clears the request;
+//      otherwise only an operator can.
+//   5. A conviction is written to the store, from which daemons learn it that
+//      start later or were disconnected. Until the store has accepted it, it is
+//      reported periodically.
 //
 // Runs on the traffic thread.
 
@@ -46,7 +47,8 @@
 namespace medlarspread::quarantine {
 
 struct QuarantinePorts {
-  // Calls the leaf's address; calls back once, never before it has returned.
+  // Probes the leaf's address; the callback runs once, never before this
+  // function has returned.
   std::function<void(const blackboard::Upstream&,
                      std::function<void(http1::PortState)>)>
       check;
@@ -54,9 +56,10 @@
   std::function<void(const Fingerprint&, blackboard::QuarantineEntry)> record;
   std::function<void(const Fingerprint&, blackboard::QuarantineEntry)>
       record_if_missing;
-  // There are reports to take that should not wait.
+  // Called when there are reports that should be sent without delay.
   std::function<void()> has_reports;
-  // A leaf ended under a request; a request was convicted.
+  // Called when a leaf's process was found to have ended during requests, and
+  // when a request was convicted.
   std::function<void()> did_end_leaf;
   std::function<void()> did_convict;
 };
@@ -69,43 +72,46 @@
              QuarantinePorts ports,
              base::Log log);
 
-  // What this daemon, its peers and the store know of the request together.
+  // The standing of the request by all that this daemon, its peers and the
+  // store know.
   Standing StandingOf(const Fingerprint& fingerprint) const;
-  // When to come back with a request that is accused or convicted.
+  // The delay after which the caller should retry an accused or convicted
+  // request.
   base::Duration RetryAfter(const Fingerprint& fingerprint) const;
 
-  // Whether a try of a convicted request may be the one that step 4 allows. It
-  // counts as used from then on.
+  // Returns whether a convicted request may be sent once more (step 4). If so,
+  // the retrial counts as used from then on.
   bool TakeRetrial(const Fingerprint& fingerprint);
 
-  // The request was sent to the leaf then, and the connection ended before an
-  // answer.
+  // Called when the connection of a send broke before an answer. `sent` is the
+  // time of the send.
   void DidLose(const Fingerprint& fingerprint,
                const blackboard::Upstream& leaf,
                base::MonotonicTime sent);
-  // A leaf answered the request.
+  // Called when a leaf answered the request.
   void DidComplete(const Fingerprint& fingerprint);
 
-  // What the other daemons are to hear now; called several times a second.
-  // Judges, too.
+  // Returns up to `most` reports to send to the other daemons, and convicts
+  // requests that are due. Called several times a second.
   std::vector<RunReport> TakeReports(std::size_t most);
-  // What another daemon told.
+  // Handles a report of another daemon.
   void DidHear(const RunReport& report);
 
  private:
-  // A report that is still to be told so many times.
+  // A report that is to be sent `times` more times.
   struct Telling {
     RunReport report;
     int times = 0;
   };
 
-  // The requests that were lost with one leaf whose address is being called.
+  // The requests whose connections to one leaf broke, while the leaf's address
+  // is being probed.
   struct Check {
     std::string address;
     std::vector<std::pair<Fingerprint, EndedRun>> runs;
   };
 
-  // How long this daemon has refused a convicted request.
+  // The time since which this daemon has refused a convicted request.
   struct Refusals {
     base::MonotonicTime since;
     bool is_retrial_used = false;
@@ -119,8 +125,8 @@
   void Tell(RunReport report);
   void Contradict(const Fingerprint& fingerprint,
                   SuspectLedger::Contradicted contradicted);
-  // What the store says, if that binds: a cleared request counts like one that
-  // the store has never heard of.
+  // The state in the store, if it is binding: a cleared request counts like one
+  // that is not in the store.
   std::optional<blackboard::QuarantineState> RecordedState(
       const Fingerprint& fingerprint) const;
 
@@ -130,10 +136,10 @@
   const QuarantinePorts ports_;
   const base::Log log_;
   SuspectLedger ledger_;
-  // By the leaf's name.
+  // Keyed by the leaf's name.
   std::map<std::string, Check> checks_;
   std::deque<Telling> tellings_;
-  // By convicted request; those that nobody asks for are not listed.
+  // Keyed by convicted request; requests that were not received are not listed.
   std::map<Fingerprint, Refusals> refusals_;
   base::MonotonicTime told_unrecorded_;
 };
--- a/src/quarantine/run_report.h
+++ b/src/quarantine/run_report.h
@@ -1,4 +1,5 @@
-// What one daemon tells the others of the runs of a request.
+// A report from one daemon to the others about a run of a request, which is one
+// execution at one leaf.
 
 #ifndef MEDLARSPREAD_QUARANTINE_RUN_REPORT_H_
 #define MEDLARSPREAD_QUARANTINE_RUN_REPORT_H_
@@ -12,11 +13,11 @@
 namespace medlarspread::quarantine {
 
 enum class RunFinding {
-  // A leaf's process ended while it had the request in work.
+  // A leaf's process ended while it was executing the request.
   kLeafEnded,
-  // A run of it was answered.
+  // A run of the request was answered.
   kCompleted,
-  // Enough leaves have ended: it must not reach any more.
+  // The request was convicted: it must not be sent to any leaf.
   kConvicted,
 };
 
@@ -29,11 +30,11 @@
 struct RunReport {
   Fingerprint fingerprint;
   RunFinding finding = RunFinding::kLeafEnded;
-  // By the clock of the daemon that holds this report; on the way between two
-  // daemons they are ages. `began` is when the request was sent to the leaf.
+  // Times by the clock of the daemon that holds this report; sent between
+  // daemons as ages. `began` is when the request was sent to the leaf.
   base::MonotonicTime began;
   base::MonotonicTime ended;
-  // The name of one start of the leaf; empty unless it ended.
+  // The name of the leaf's process incarnation; empty unless it ended.
   std::string leaf;
 
   friend bool operator==(const RunReport&, const RunReport&) = default;
--- a/src/quarantine/suspect_ledger.cc
+++ b/src/quarantine/suspect_ledger.cc
@@ -1,4 +1,4 @@
-// Rounds of runs that ended with their leaf.
+// Counts rounds of runs that ended with a crash of their leaf.
 
 #include "src/quarantine/suspect_ledger.h"
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-// An end of one leaf that is told twice is told with ages that differ by the
-// ways of the datagrams; no process starts again and ends within this time.
+// Two reports of the same end of a leaf carry ages that differ by the delays of
+// the datagrams. No process restarts and ends again within this time.
 constexpr base::Duration kSameEnd = base::Milliseconds(500);
 
 }  // namespace
@@ -38,7 +38,7 @@
   std::erase_if(suspect.runs, [now](const EndedRun& old) {
     return now - old.ended > kEvidenceKept;
   });
-  // A leaf that starts again may have the name that it had.
+  // A restarted leaf may have the same name as before.
   const bool is_known = std::any_of(
       suspect.runs.begin(), suspect.runs.end(), [&run](const EndedRun& known) {
         return known.leaf == run.leaf &&
@@ -129,8 +129,8 @@
   return convictions;
 }
 
-// The most runs of which each began after the one before had ended: to take
-// the one that ends first, again and again, gives that.
+// Returns the greatest number of runs of which each began after the previous
+// one had ended. Repeatedly choosing the run that ends first gives the maximum.
 int SuspectLedger::CountRounds(const std::vector<EndedRun>& runs) {
   int rounds = 0;
   MonotonicTime last_end;
--- a/src/quarantine/suspect_ledger.h
+++ b/src/quarantine/suspect_ledger.h
@@ -1,25 +1,25 @@
-// Which requests end the leaves that run them: the evidence, and what follows
-// from it.
+// Records evidence on requests that crash the leaves that execute them, and
+// decides what follows from it.
 //
-// Many requests are in work at a leaf whose process ends, and at most one of
-// them is to blame. What tells it from the others is that it has no run that
-// does not end its leaf. So:
+// When a leaf's process ends, it is executing many requests, of which at most
+// one is to blame. That request differs from the others in that all its runs
+// end with a crash of the leaf. So:
 //
-//   - A request is suspect as long as a leaf has ended under it and no run of
-//     it has completed since that run began.
-//   - It is accused once kRoundsToConvict of its runs, one begun after the one
-//     before had ended, have each ended with their leaf, and none completed.
-//     Runs at the same time count as one: whatever takes many leaves at once,
-//     such as a rack without power, takes all copies of a busy request with
-//     them, but only a request that ends leaves itself does so three times in a
-//     row.
-//   - For kDeliberation an accused request is held back, and one that has
-//     completed anywhere is cleared. Then it is convicted, until an operator
-//     lifts the verdict or a run completes that was in work all the while.
+//   - A request is suspect while a leaf has ended during one of its runs and no
+//     run has completed since that run began.
+//   - It is accused once kRoundsToConvict of its runs, each begun after the
+//     previous one had ended, have crashed their leaves, and none has
+//     completed. Concurrent runs count as one round: an event that takes down
+//     many leaves at once, such as a rack that loses power, ends all concurrent
+//     runs of a frequent request, but only a request that crashes leaves itself
+//     does so three times in a row.
+//   - For kDeliberation an accused request is blocked, and cleared if any
+//     daemon reports a completion. After that it is convicted, until an
+//     operator lifts the verdict or a run that was still in progress completes.
 //
-// Evidence fades: a leaf's end counts for kEvidenceKept.
+// Evidence expires: the end of a leaf counts for kEvidenceKept.
 //
-// Pure bookkeeping; calls come from one sequence.
+// This class does no I/O; all calls must come from one sequence.
 
 #ifndef MEDLARSPREAD_QUARANTINE_SUSPECT_LEDGER_H_
 #define MEDLARSPREAD_QUARANTINE_SUSPECT_LEDGER_H_
@@ -37,15 +37,15 @@
 
 namespace medlarspread::quarantine {
 
-// What may be done with a request.
+// How the sessions may send a request.
 enum class Standing {
-  // Nothing speaks against it.
+  // No evidence against it.
   kClear,
-  // Whoever sends it tries one leaf first.
+  // It is sent to one leaf first.
   kSuspect,
-  // It is held back for a moment.
+  // It is blocked for a short time.
   kAccused,
-  // It reaches no leaf any more.
+  // It is not sent to any leaf.
   kConvicted,
 };
 
@@ -56,64 +56,68 @@
     {Standing::kConvicted, "convicted"},
 }}};
 
-// A run that ended with its leaf.
+// A run during which the leaf's process ended.
 struct EndedRun {
   base::MonotonicTime began;
   base::MonotonicTime ended;
-  // The name of one start of the leaf.
+  // The name of the leaf's process incarnation.
   std::string leaf;
-  // Whether this daemon had sent it there, and was not told by another one.
+  // Whether this daemon sent the request to the leaf; false if another daemon
+  // reported the run.
   bool is_own = false;
 };
 
 struct Conviction {
   Fingerprint fingerprint;
-  // The evidence, in the order in which the runs ended.
+  // The evidence, ordered by the time at which the runs ended.
   std::vector<EndedRun> runs;
-  // Whether a run of this daemon completed the evidence.
+  // Whether the run that completed the evidence was sent by this daemon.
   bool is_own = false;
 };
 
-// Three, since a caller's second try may fall on leaves that another request
-// ends at the same time, and a third one hardly ever does. A fourth would cost
-// one more leaf each time: with three, a request to all shards is known from
-// its caller's second try on.
+// With two rounds, a caller's retry could by chance be sent to leaves that
+// another request crashes at the same time; a third such coincidence is very
+// rare. A fourth round would cost one more leaf each time: with three, a
+// request to all shards is detected from its caller's first retry on.
 constexpr int kRoundsToConvict = 3;
-// What one daemon finds the others hear within 0.3 s (gossip::ReportExchange):
-// time for a daemon that has seen the request complete to say so.
+// A daemon's findings reach the others within 0.3 s (gossip::ReportExchange),
+// which leaves time for a daemon that has seen the request complete to report
+// it.
 constexpr base::Duration kDeliberation = base::Milliseconds(400);
-// A caller that tries again does so within minutes. Leaves end by themselves
-// once in hours: three in a row that nothing completed between are no chance.
+// Callers retry within minutes. Leaves crash for other reasons once in hours,
+// so that three in a row without a completion between them are no coincidence.
 constexpr base::Duration kEvidenceKept = base::Milliseconds(600'000);
 
 class SuspectLedger {
  public:
-  // What a report of a leaf's end came to.
+  // Returned when a completion contradicts a reported end of a leaf.
   struct Contradicted {
-    // When the request completed, after that run had begun.
+    // The time of the completion, which is after the start of that run.
     base::MonotonicTime completed;
   };
 
-  // A leaf ended under the request. If a completion speaks against it, that is
-  // returned and nothing is noted.
+  // Records that a leaf ended during a run of the request. If a completion
+  // contradicts that, returns it and records nothing.
   std::optional<Contradicted> DidEndLeaf(const Fingerprint& fingerprint,
                                          EndedRun run,
                                          base::MonotonicTime now);
-  // A run of the request was answered then, which clears it, also if it was
-  // convicted: a request that ends leaves is never answered. Whether there was
-  // anything to clear.
+  // Records that a run of the request was answered at that time, which clears
+  // the request, even if it was convicted: a request that crashes leaves is
+  // never answered. Returns whether there was anything to clear.
   bool DidComplete(const Fingerprint& fingerprint, base::MonotonicTime when);
-  // Another daemon has convicted it. False if that is known already.
+  // Records a conviction by another daemon. Returns false if it is known
+  // already.
   bool DidHearConviction(const Fingerprint& fingerprint);
-  // The verdict is kept elsewhere, or was lifted.
+  // Forgets the request: its verdict is in the store now, or was lifted.
   void Forget(const Fingerprint& fingerprint);
 
   Standing StandingOf(const Fingerprint& fingerprint) const;
-  // Runs of a suspect that ended with their leaf, one after the other.
+  // The number of consecutive runs of a suspect that ended with their leaf.
   int RoundsOf(const Fingerprint& fingerprint) const;
-  // When an accused request is judged.
+  // The time at which an accused request will be convicted.
   base::MonotonicTime JudgedAt(const Fingerprint& fingerprint) const;
-  // Convicts those whose time is over; each is returned once.
+  // Convicts the accused requests whose time has come; returns each conviction
+  // once.
   std::vector<Conviction> Judge(base::MonotonicTime now);
 
   std::size_t suspects() const { return suspects_.size(); }
@@ -121,35 +125,37 @@
 
  private:
   struct Suspect {
-    // By the time they ended. Invariant: none began before a completion that
-    // is known here; not empty.
+    // Ordered by end time. Invariant: not empty; no run began before a
+    // completion that is known here.
     std::vector<EndedRun> runs;
     // Zero unless accused.
     base::MonotonicTime judged_at;
     bool is_own = false;
   };
 
-  // The last completion of some request whose fingerprint falls on this place.
+  // The last completion of any request whose fingerprint maps to this slot.
   struct Completion {
     Fingerprint fingerprint;
     base::MonotonicTime when;
   };
 
-  // Places for completions: those of 30 s at 127 requests a second, which is a
-  // daemon's part at the size to design for. A later one takes the place of an
-  // earlier one; what is lost is a chance to clear a suspect, which its next
-  // run has again. 128 KB.
+  // Slots for completions: as many as complete in 30 s at 127 requests a
+  // second, which is one daemon's share at the design size. A later completion
+  // overwrites an earlier one in its slot; this loses only one chance to clear
+  // a suspect, which its next run provides again. 128 KB.
   static constexpr std::size_t kCompletions = 4096;
-  // Suspects at once; the one whose last leaf ended first gives way. Each costs
-  // a leaf, so callers can't fill it: it holds the ends of a day at the size to
-  // design for.
+  // The maximum number of suspects; beyond it, the one whose last leaf ended
+  // first is dropped. Each suspect costs a leaf, so callers cannot fill the
+  // table: it holds the crashes of a day at the design size.
   static constexpr std::size_t kMostSuspects = 1024;
   static constexpr std::size_t kMostConvicted = 4096;
-  // Runs kept of one suspect; more rounds than kRoundsToConvict never count.
+  // The maximum number of runs kept per suspect; rounds beyond kRoundsToConvict
+  // never count.
   static constexpr std::size_t kMostRuns = 16;
 
   static int CountRounds(const std::vector<EndedRun>& runs);
-  // Where there are too many, one leaves that no round depends on.
+  // Inserts the run. If there are too many, removes one that does not affect
+  // the number of rounds.
   static void Insert(std::vector<EndedRun>& runs, EndedRun run);
   void MakePlace();
   std::size_t PlaceOf(const Fingerprint& fingerprint) const;
--- a/src/quarantine/verdict_controller.cc
+++ b/src/quarantine/verdict_controller.cc
@@ -1,4 +1,4 @@
-// Writes, and what came of them.
+// Writes verdicts to the store and handles its events.
 
 #include "src/quarantine/verdict_controller.h"
 
@@ -13,16 +13,18 @@
 using blackboard::QuarantineEntry;
 using blackboard::QuarantineState;
 
-// Each call is paid for; the daemons tell each other meanwhile.
+// Each store call costs money; until the write succeeds, the daemons learn the
+// verdict from each other.
 constexpr base::Duration kRetry = base::Milliseconds(1'000);
-// The daemon that convicts writes at once, and its word is in the news within
-// a second. Then the others come, not all at the same moment.
+// The convicting daemon writes at once, and its write arrives as a store event
+// within a second. Only after that do the others write, spread over a random
+// time.
 constexpr base::Duration kPatience = base::Milliseconds(2'500);
 constexpr base::Duration kSpread = base::Milliseconds(5'000);
-// By then each daemon has read the restored store, whoever it hears from.
+// By then every daemon has read the restored store, from whichever source.
 constexpr base::Duration kRestoreSettled = base::Milliseconds(30'000);
-// A verdict costs three leaves: more than this number never come together on
-// one deployment, and 300 bytes each make 1.2 MB of every daemon's memory.
+// Each verdict costs three leaves, so one deployment never collects more than
+// this number; at 300 bytes each they use 1.2 MB of memory per daemon.
 constexpr std::size_t kMostEntries = 4096;
 
 }  // namespace
@@ -42,9 +44,11 @@
                                QuarantineEntry entry) {
   const std::string text = ToText(fingerprint);
   if (!view_.entries.contains(text) && view_.entries.size() >= kMostEntries) {
-    log_.Write({.level = base::LogLevel::kError,
-                .step = base::Step::kWriteStore,
-                .message = "no place for the verdict on fingerprint " + text});
+    log_.Write(
+        {.level = base::LogLevel::kError,
+         .step = base::Step::kWriteStore,
+         .message =
+             "too many verdicts; dropped the one on fingerprint " + text});
     return;
   }
   const bool is_writing = pending_.contains(text);
@@ -102,9 +106,10 @@
   }
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kWatchStore,
-              .message = "the restored store has lost what was known of "
+              .message = "the restored store has lost the state of "
                          "fingerprint " +
-                         fingerprint + "; it is kept and written again"});
+                         fingerprint +
+                         "; it stays in force and is written again"});
   control_.After(ByChance(kSpread), [self = shared_from_this(), fingerprint] {
     const bool is_missing = self->lost_.erase(fingerprint) > 0;
     const auto text = FingerprintFromText(fingerprint);
@@ -143,7 +148,7 @@
            self->log_.DidFail(
                written.error(),
                "the verdict on fingerprint " + fingerprint +
-                   " is not in the store yet; it is written again");
+                   " was not written to the store; it is written again");
          }
          self->control_.After(
              kRetry, [self, fingerprint] { self->Write(fingerprint); });
@@ -157,10 +162,11 @@
   }
   const auto entry = value ? DecodeVerdict(*value) : std::nullopt;
   if (value && !entry) {
-    log_.Write({.level = base::LogLevel::kWarning,
-                .step = base::Step::kWatchStore,
-                .message = "the verdict on fingerprint " + fingerprint +
-                           " can't be read; what was known of it holds"});
+    log_.Write(
+        {.level = base::LogLevel::kWarning,
+         .step = base::Step::kWatchStore,
+         .message = "the verdict on fingerprint " + fingerprint +
+                    " can't be parsed; the previous state stays in force"});
     return;
   }
   if (IsLost(fingerprint, entry)) {
@@ -174,8 +180,8 @@
       entry &&
       (entry->state == QuarantineState::kLifted ||
        (pending != pending_.end() && pending->second.state == entry->state));
-  // An operator who lifts a verdict that this daemon still tries to write has
-  // the last word.
+  // A lift by an operator takes precedence over a verdict that this daemon is
+  // still trying to write.
   if (is_settled) {
     pending_.erase(fingerprint);
   }
--- a/src/quarantine/verdict_controller.h
+++ b/src/quarantine/verdict_controller.h
@@ -1,13 +1,13 @@
-// Keeps the verdicts on requests in the store, and the blackboard's view of
-// them from what the store says.
+// Writes verdicts on requests to the store, and updates the blackboard's view
+// of them from the store.
 //
-// The store is what remembers a verdict: through a restart or loss of power of
-// all daemons, and for daemons that were cut off. It costs one writing call a
-// verdict, and nothing to read: verdicts come with all other news.
+// The store preserves verdicts through a restart or power loss of all daemons,
+// and for daemons that were disconnected. Each verdict costs one write call;
+// reading costs nothing, since verdicts arrive with all other store events.
 //
-// A store that is restored from a copy has lost the latest verdicts and lifts.
-// Daemons that know them keep to them; each waits for a time of its own, and
-// writes what nobody has written again by then.
+// A store that is restored from a backup has lost the latest verdicts and
+// lifts. Daemons that know these continue to apply them. Each daemon waits for
+// a random time, and then writes what no other daemon has written again.
 //
 // Runs on the control thread; the only writer of Blackboard::quarantine.
 
@@ -34,7 +34,7 @@
 class VerdictController
     : public std::enable_shared_from_this<VerdictController> {
  public:
-  // Writes a key that outlives every lease.
+  // Writes a key that is not bound to a lease.
   using Put = std::function<void(std::string key,
                                  std::string value,
                                  std::function<void(base::Status)> done)>;
@@ -47,28 +47,32 @@
 
   void Stop() { is_stopped_ = true; }
 
-  // Writes what this daemon has found, again and again until the store has it.
+  // Writes a verdict that this daemon has found, and retries until the store
+  // accepts it.
   void Record(const Fingerprint& fingerprint,
               blackboard::QuarantineEntry entry);
-  // The same for what another daemon has found, in case that one could not: if
-  // the store does not have it after a while.
+  // Writes a verdict that another daemon has found, if the store does not have
+  // it after a while, in case that daemon could not write it.
   void RecordIfMissing(const Fingerprint& fingerprint,
                        blackboard::QuarantineEntry entry);
 
-  // The store was restored from a copy.
+  // Called when the store was restored from a backup.
   void DidRestoreStore();
-  // The key of a fingerprint was written; or removed, if `value` is absent.
+  // Called when the key of a fingerprint was written, or removed if `value` is
+  // absent.
   void DidChange(const std::string& fingerprint,
                  const std::optional<std::string>& value);
 
  private:
   void Write(const std::string& fingerprint);
   bool is_known(const std::string& fingerprint) const;
-  // Whether what the store says is older than what it has lost in a restore.
+  // Whether the state in the store is older than one that was lost in a
+  // restore.
   bool IsLost(const std::string& fingerprint,
               const std::optional<blackboard::QuarantineEntry>& entry) const;
   void WriteAgainIfMissing(const std::string& fingerprint);
-  // A time of its own for this daemon.
+  // A random duration of up to `longest`, so that daemons do not all act at
+  // once.
   base::Duration ByChance(base::Duration longest);
 
   const base::TaskRunner control_;
@@ -76,15 +80,16 @@
   const Put put_;
   blackboard::Blackboard& blackboard_;
   const base::Log log_;
-  // What the store says, by the text of the fingerprint.
+  // The state in the store, keyed by the text of the fingerprint.
   blackboard::QuarantineView view_;
-  // What the store has not taken yet.
+  // Verdicts that the store has not accepted yet.
   std::map<std::string, blackboard::QuarantineEntry> pending_;
-  // What it has taken, but has not told of yet.
+  // Verdicts that the store has accepted, but whose event has not arrived yet.
   std::map<std::string, blackboard::QuarantineEntry> acknowledged_;
-  // What was known when the store was restored; empty once that is settled.
+  // The verdicts known when the store was restored; empty once the restore has
+  // settled.
   std::map<std::string, blackboard::QuarantineEntry> at_risk_;
-  // What is to be written again unless somebody else does.
+  // Verdicts to be written again unless another daemon does so first.
   std::set<std::string> lost_;
   int restores_ = 0;
   bool is_stopped_ = false;
--- a/src/quarantine/verdict_entry.cc
+++ b/src/quarantine/verdict_entry.cc
@@ -1,4 +1,4 @@
-// Words with blanks between.
+// Encodes verdicts as words separated by spaces.
 
 #include "src/quarantine/verdict_entry.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Some eight leaves with the times of their ends.
+// Enough for about eight leaves with the times at which they ended.
 constexpr std::size_t kMostEvidence = 300;
 
 }  // namespace
--- a/src/quarantine/verdict_entry.h
+++ b/src/quarantine/verdict_entry.h
@@ -1,4 +1,4 @@
-// What the store keeps of a request that was convicted.
+// The stored value of a verdict on a request.
 
 #ifndef MEDLARSPREAD_QUARANTINE_VERDICT_ENTRY_H_
 #define MEDLARSPREAD_QUARANTINE_VERDICT_ENTRY_H_
@@ -11,13 +11,13 @@
 
 namespace medlarspread::quarantine {
 
-// Before the fingerprint in the key.
+// The prefix of the key, followed by the fingerprint.
 constexpr std::string_view kVerdictKeyPrefix = "quarantine/";
 
-// "STATE WALL_MS EVIDENCE"; evidence beyond some hundred bytes is cut off.
+// "STATE WALL_MS EVIDENCE"; the evidence is truncated after some hundred bytes.
 std::string EncodeVerdict(const blackboard::QuarantineEntry& entry);
-// Absent if nobody's verdict looks like that. An operator who lifts one needs
-// to write the word "lifted" only.
+// Absent if the value is not a valid verdict. To lift a verdict, an operator
+// needs to write only the word "lifted".
 std::optional<blackboard::QuarantineEntry> DecodeVerdict(
     const std::string& value);
 
--- a/tests/quarantine/fingerprint_test.cc
+++ b/tests/quarantine/fingerprint_test.cc
@@ -1,4 +1,4 @@
-// Which requests count as the same.
+// Tests which requests have the same fingerprint.
 
 #include "src/quarantine/fingerprint.h"
 
--- a/tests/quarantine/quarantine_test.cc
+++ b/tests/quarantine/quarantine_test.cc
@@ -1,4 +1,5 @@
-// From lost connections to verdicts: one daemon, its ports, and what it tells.
+// Tests one daemon's quarantine with fake ports: from lost connections to
+// verdicts and reports.
 
 #include "src/quarantine/quarantine.h"
 
@@ -21,7 +22,8 @@
 
   QuarantineTest() { request_.bytes[0] = 1; }
 
-  // A run of 10 ms that loses its connection; the leaf's port is in that state.
+  // Runs the request for 10 ms until its connection breaks; a probe of the
+  // leaf's port then returns `state`.
   void Lose(PortState state) {
     blackboard::Upstream leaf;
     leaf.name = "leaf-" + std::to_string(++leaves_);
@@ -87,8 +89,8 @@
   EXPECT_EQ(recorded_.front().state, QuarantineState::kConvicted);
 }
 
-// A reset, a lost answer, a cut link, a leaf without power: no process ended
-// under the request.
+// A reset, a lost answer, a broken link or a leaf that lost power: no process
+// ended because of the request.
 TEST_F(QuarantineTest, AConnectionThatEndsIsNoProcessThatEnded) {
   for (int round = 0; round < 20; ++round) {
     Lose(PortState::kListening);
@@ -135,7 +137,8 @@
   EXPECT_EQ(quarantine_->StandingOf(request_), Standing::kClear);
 }
 
-// Who has seen the request complete says so to the daemon that doubts it.
+// A daemon that has seen the request complete reports this to the daemon that
+// suspects it.
 TEST_F(QuarantineTest, AnEndThatACompletionContradictsIsAnswered) {
   const base::MonotonicTime began = clock_.Now();
   time_->Advance(Milliseconds(50));
@@ -148,7 +151,7 @@
   EXPECT_EQ(reports.front().finding, RunFinding::kCompleted);
 }
 
-// A daemon that has just started, or was cut off.
+// Covers a daemon that has just started or was disconnected.
 TEST_F(QuarantineTest, TheStoresVerdictBinds) {
   SetStored(QuarantineState::kConvicted);
   EXPECT_EQ(quarantine_->StandingOf(request_), Standing::kConvicted);
@@ -171,7 +174,8 @@
   EXPECT_EQ(recorded_.front().state, QuarantineState::kCleared);
 }
 
-// One daemon, the one that all agree on, may try it once more after a minute.
+// Only the daemon that rendezvous hashing selects may retry the request, once,
+// after a minute.
 TEST_F(QuarantineTest, OneRetrialIsAllowed) {
   blackboard::MembershipView members;
   members.self = "a";
@@ -205,8 +209,8 @@
   EXPECT_FALSE(quarantine_->TakeRetrial(request_));
 }
 
-// Leaves that ended at the same moment, told by daemons of which one is farther
-// away.
+// Leaves that ended at the same moment, reported by daemons of which one is
+// farther away, must count as one round.
 TEST_F(QuarantineTest, TheWayOfADatagramMakesNoRound) {
   const base::MonotonicTime now = clock_.Now();
   for (std::int64_t hop = 0; hop < 4; ++hop) {
@@ -217,7 +221,8 @@
   EXPECT_EQ(quarantine_->StandingOf(request_), Standing::kSuspect);
 }
 
-// While the store is away, those that start hear of it from the others.
+// While the store is unreachable, daemons that start learn the verdict from the
+// others.
 TEST_F(QuarantineTest, AVerdictIsToldAgainUntilTheStoreHasIt) {
   Convict();
   const auto count_told = [this] {
--- a/tests/quarantine/suspect_ledger_test.cc
+++ b/tests/quarantine/suspect_ledger_test.cc
@@ -1,4 +1,4 @@
-// What convicts a request, what clears it, and what neither does.
+// Tests what convicts a request, what clears it, and what does neither.
 
 #include "src/quarantine/suspect_ledger.h"
 
@@ -22,7 +22,8 @@
     return MonotonicTime{} + Milliseconds(milliseconds);
   }
 
-  // A run from `began` to `ended`, each in milliseconds, that ended its leaf.
+  // Records a run from `began` to `ended`, both in milliseconds, that ended
+  // with its leaf.
   void EndLeaf(const Fingerprint& fingerprint, int began, int ended) {
     contradicted_ = ledger_.DidEndLeaf(
         fingerprint,
@@ -51,8 +52,8 @@
   EXPECT_TRUE(ledger_.Judge(At(7'000)).empty()) << "convicted twice";
 }
 
-// A rack without power, a release, a service whose leaves all end at once: all
-// copies of a busy request go with them.
+// A power loss in a rack, a new release, or a service whose leaves all end at
+// once: this ends all concurrent runs of a frequent request.
 TEST_F(SuspectLedgerTest, ManyLeavesAtOnceAreOneRound) {
   for (int copy = 0; copy < 40; ++copy) {
     EndLeaf(request_, 1'000 - copy, 1'050 + copy % 3);
@@ -61,7 +62,7 @@
   EXPECT_EQ(ledger_.RoundsOf(request_), 1);
 }
 
-// However many ends of one round come first, the next rounds still count.
+// However many ends the first round has, later rounds still count.
 TEST_F(SuspectLedgerTest, ALargeRoundLeavesPlaceForTheNext) {
   for (int copy = 0; copy < 100; ++copy) {
     EndLeaf(request_, 1'000, 1'050);
@@ -80,7 +81,7 @@
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kSuspect);
 }
 
-// The copy in work at a sound leaf completes while the request is held back.
+// A concurrent run at a healthy leaf completes while the request is blocked.
 TEST_F(SuspectLedgerTest, ACompletionClearsTheAccused) {
   EndLeaf(request_, 1'000, 1'010);
   EndLeaf(request_, 1'020, 1'030);
@@ -90,7 +91,7 @@
   EXPECT_TRUE(ledger_.Judge(At(9'000)).empty());
 }
 
-// A run of some seconds that was in work when the verdict fell.
+// A run of some seconds was in progress when the request was convicted.
 TEST_F(SuspectLedgerTest, ACompletionClearsTheConvicted) {
   ledger_.DidHearConviction(request_);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kConvicted);
@@ -98,7 +99,8 @@
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
 }
 
-// Another daemon tells late of an end that this one knows better about.
+// Another daemon reports an end late, when this daemon knows of a later
+// completion.
 TEST_F(SuspectLedgerTest, AnEndBeforeACompletionIsContradicted) {
   EXPECT_FALSE(ledger_.DidComplete(request_, At(1'500)));
   EndLeaf(request_, 1'000, 1'010);
@@ -118,7 +120,7 @@
   EXPECT_EQ(ledger_.RoundsOf(request_), 1);
 }
 
-// Leaves may start again under their old names.
+// Leaves may restart under their old names.
 TEST_F(SuspectLedgerTest, ALeafThatEndsAgainCountsAgain) {
   for (int time = 1; time <= 3; ++time) {
     const MonotonicTime now = At(time * 4'000);
@@ -144,8 +146,9 @@
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
 }
 
-// Callers that send a million different requests fill nothing: what is kept of
-// suspects is bounded, and of others nothing is kept that grows.
+// Callers that send a million different requests must not exhaust memory: the
+// number of suspects is bounded, and nothing that grows is kept for other
+// requests.
 TEST_F(SuspectLedgerTest, SuspectsAreBounded) {
   for (int number = 0; number < 5'000; ++number) {
     Fingerprint fingerprint;
--- a/tests/quarantine/verdict_controller_test.cc
+++ b/tests/quarantine/verdict_controller_test.cc
@@ -1,4 +1,5 @@
-// Verdicts in a store that is there, away, or written by somebody else.
+// Tests verdicts with a store that is reachable, unreachable, or written by
+// others.
 
 #include "src/quarantine/verdict_controller.h"
 
@@ -113,8 +114,8 @@
   EXPECT_EQ(blackboard_.quarantine.Read()->entries.size(), 1U);
 }
 
-// Guards against a request that ends leaves again because the restored store
-// has lost the verdict on it.
+// Otherwise a request would crash leaves again because the restored store has
+// lost its verdict.
 TEST_F(VerdictControllerTest, WhatARestoreLostIsKeptAndWrittenAgain) {
   DidChange(EncodeVerdict(convicted_));
   controller_->DidRestoreStore();
@@ -147,7 +148,8 @@
             QuarantineState::kLifted);
 }
 
-// A write that the store took and lost before it told of it.
+// The store accepted the write, and lost it in a restore before it sent the
+// event.
 TEST_F(VerdictControllerTest, AnAcknowledgedWriteThatARestoreLostIsMadeAgain) {
   controller_->Record(request_, convicted_);
   ASSERT_EQ(written_.size(), 1U);
