--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -18,21 +18,21 @@
 // The number of times that each report is sent. Each time, another strong
 // daemon of each failure domain forwards it. If one in ten datagrams is lost on
 // each of two hops, 7 of 1,000 daemons receive none of the three.
-constexpr int kTellings = 3;
+constexpr int kReportSends = 3;
 // The maximum number of reports waiting to be sent; at six per 100 ms this is
 // half a second's worth. Beyond it the oldest are dropped, which have been sent
 // at least once.
-constexpr std::size_t kMostTellings = 30;
+constexpr std::size_t kMaxQueuedReports = 30;
 // The maximum number of leaves probed at the same time, and of requests
 // recorded for each of them.
-constexpr std::size_t kMostChecks = 64;
-constexpr std::size_t kMostRunsOfCheck = 32;
+constexpr std::size_t kMaxChecks = 64;
+constexpr std::size_t kMaxRunsPerCheck = 32;
 // The interval at which a conviction that is not in the store is reported
 // again: short enough that a daemon that has just started learns of it before
 // it has received callers' requests for long.
-constexpr base::Duration kTellAgain = base::Milliseconds(1'000);
+constexpr base::Duration kUnrecordedReportInterval = base::Milliseconds(1'000);
 // The average number of daemons that report it again in each interval.
-constexpr double kTellersAgain = 8.0;
+constexpr double kUnrecordedReporters = 8.0;
 // The retry delay of a convicted request, which stays blocked until an operator
 // lifts the verdict.
 constexpr base::Duration kRetryAfterVerdict = base::Milliseconds(60'000);
@@ -43,8 +43,8 @@
 // The delay of a datagram to the farthest region over two hops makes reported
 // times appear later by up to this much. Without this correction, two leaves
 // that ended at the same moment could look as if one ended after the other.
-constexpr base::Duration kHearingError = base::Milliseconds(20);
-constexpr std::size_t kMostRefusals = 4096;
+constexpr base::Duration kMaxReportDelay = base::Milliseconds(20);
+constexpr std::size_t kMaxRefusals = 4096;
 
 std::string Describe(const std::vector<EndedRun>& runs, MonotonicTime now) {
   std::string text;
@@ -91,7 +91,7 @@
                                                : Standing::kConvicted;
 }
 
-bool Quarantine::is_named_for_retrial(const Fingerprint& fingerprint) const {
+bool Quarantine::is_selected_for_retrial(const Fingerprint& fingerprint) const {
   const auto view = blackboard_.membership.Read();
   std::vector<std::string> names;
   for (const auto& [name, member] : view->members) {
@@ -103,16 +103,16 @@
 
 bool Quarantine::TakeRetrial(const Fingerprint& fingerprint) {
   const auto recorded = RecordedState(fingerprint);
-  const bool has_place =
-      refusals_.contains(fingerprint) || refusals_.size() < kMostRefusals;
-  if (recorded != QuarantineState::kConvicted || !has_place) {
+  const bool has_capacity =
+      refusals_.contains(fingerprint) || refusals_.size() < kMaxRefusals;
+  if (recorded != QuarantineState::kConvicted || !has_capacity) {
     return false;
   }
   const MonotonicTime now = clock_.Now();
   Refusals& refusals =
       refusals_.try_emplace(fingerprint, Refusals{now, false}).first->second;
   if (refusals.is_retrial_used || now - refusals.since < kRetrialAfter ||
-      !is_named_for_retrial(fingerprint)) {
+      !is_selected_for_retrial(fingerprint)) {
     return false;
   }
   refusals.is_retrial_used = true;
@@ -130,18 +130,18 @@
     return kRetryAfterVerdict;
   }
   return std::max(base::Duration{},
-                  ledger_.JudgedAt(fingerprint) - clock_.Now());
+                  ledger_.ConvictionTimeOf(fingerprint) - clock_.Now());
 }
 
 void Quarantine::DidLose(const Fingerprint& fingerprint,
                          const blackboard::Upstream& leaf,
                          MonotonicTime sent) {
   const bool is_checked = checks_.contains(leaf.name);
-  if (!is_checked && checks_.size() >= kMostChecks) {
+  if (!is_checked && checks_.size() >= kMaxChecks) {
     return;
   }
   Check& check = checks_[leaf.name];
-  if (check.runs.size() < kMostRunsOfCheck) {
+  if (check.runs.size() < kMaxRunsPerCheck) {
     check.runs.push_back({fingerprint, {sent, clock_.Now(), leaf.name, true}});
   }
   if (is_checked) {
@@ -176,7 +176,8 @@
     const int rounds = ledger_.RoundsOf(fingerprint);
     DidEndLeaf(fingerprint, run);
     if (ledger_.RoundsOf(fingerprint) > rounds) {
-      Tell({fingerprint, RunFinding::kLeafEnded, run.began, run.ended, leaf});
+      QueueReport(
+          {fingerprint, RunFinding::kLeafEnded, run.began, run.ended, leaf});
     }
   }
 }
@@ -189,7 +190,7 @@
   const Standing before = ledger_.StandingOf(fingerprint);
   const auto contradicted = ledger_.DidEndLeaf(fingerprint, run, clock_.Now());
   if (contradicted) {
-    Contradict(fingerprint, *contradicted);
+    ReportContradiction(fingerprint, *contradicted);
     return;
   }
   const Standing after = ledger_.StandingOf(fingerprint);
@@ -202,10 +203,11 @@
   }
 }
 
-void Quarantine::Contradict(const Fingerprint& fingerprint,
-                            SuspectLedger::Contradicted contradicted) {
-  Tell({fingerprint, RunFinding::kCompleted, contradicted.completed,
-        contradicted.completed, ""});
+void Quarantine::ReportContradiction(
+    const Fingerprint& fingerprint,
+    SuspectLedger::Contradiction contradicted) {
+  QueueReport({fingerprint, RunFinding::kCompleted, contradicted.completed,
+               contradicted.completed, ""});
 }
 
 void Quarantine::DidComplete(const Fingerprint& fingerprint) {
@@ -222,7 +224,7 @@
   if (!was_suspect && !is_recorded) {
     return;
   }
-  Tell({fingerprint, RunFinding::kCompleted, now, now, ""});
+  QueueReport({fingerprint, RunFinding::kCompleted, now, now, ""});
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kAdmit,
               .message = "fingerprint " + ToText(fingerprint) +
@@ -230,25 +232,25 @@
 }
 
 std::vector<RunReport> Quarantine::TakeReports(std::size_t most) {
-  Judge();
-  TellUnrecorded();
+  ConvictDue();
+  ReportUnrecorded();
   std::vector<RunReport> reports;
-  std::deque<Telling> again;
-  while (reports.size() < most && !tellings_.empty()) {
-    Telling telling = std::move(tellings_.front());
-    tellings_.pop_front();
-    reports.push_back(telling.report);
-    if (--telling.times > 0) {
-      again.push_back(std::move(telling));
+  std::deque<QueuedReport> again;
+  while (reports.size() < most && !queued_reports_.empty()) {
+    QueuedReport queued = std::move(queued_reports_.front());
+    queued_reports_.pop_front();
+    reports.push_back(queued.report);
+    if (--queued.times > 0) {
+      again.push_back(std::move(queued));
     }
   }
-  tellings_.insert(tellings_.end(), again.begin(), again.end());
+  queued_reports_.insert(queued_reports_.end(), again.begin(), again.end());
   return reports;
 }
 
-void Quarantine::Judge() {
+void Quarantine::ConvictDue() {
   const MonotonicTime now = clock_.Now();
-  for (const Conviction& conviction : ledger_.Judge(now)) {
+  for (const Conviction& conviction : ledger_.ConvictDue(now)) {
     const Fingerprint& fingerprint = conviction.fingerprint;
     const std::string evidence = Describe(conviction.runs, now);
     ports_.did_convict();
@@ -261,7 +263,7 @@
     } else {
       ports_.record_if_missing(fingerprint, entry);
     }
-    Tell({fingerprint, RunFinding::kConvicted, now, now, ""});
+    QueueReport({fingerprint, RunFinding::kConvicted, now, now, ""});
     log_.Write(
         {.level = base::LogLevel::kError,
          .step = base::Step::kAdmit,
@@ -271,12 +273,13 @@
   }
 }
 
-void Quarantine::TellUnrecorded() {
+void Quarantine::ReportUnrecorded() {
   const MonotonicTime now = clock_.Now();
-  if (ledger_.convicted().empty() || now - told_unrecorded_ < kTellAgain) {
+  if (ledger_.convicted().empty() ||
+      now - last_unrecorded_report_ < kUnrecordedReportInterval) {
     return;
   }
-  told_unrecorded_ = now;
+  last_unrecorded_report_ = now;
   const auto daemons =
       static_cast<double>(blackboard_.membership.Read()->members.size());
   const std::set<Fingerprint> convicted = ledger_.convicted();
@@ -284,17 +287,17 @@
     if (RecordedState(fingerprint)) {
       // From now on the state in the store is binding, also if it changes.
       ledger_.Forget(fingerprint);
-    } else if (random_->Unit() * daemons < kTellersAgain) {
-      Tell({fingerprint, RunFinding::kConvicted, now, now, ""});
+    } else if (random_->Unit() * daemons < kUnrecordedReporters) {
+      QueueReport({fingerprint, RunFinding::kConvicted, now, now, ""});
     }
   }
 }
 
-void Quarantine::Tell(RunReport report) {
-  if (tellings_.size() >= kMostTellings) {
-    tellings_.pop_front();
+void Quarantine::QueueReport(RunReport report) {
+  if (queued_reports_.size() >= kMaxQueuedReports) {
+    queued_reports_.pop_front();
   }
-  tellings_.push_back({std::move(report), kTellings});
+  queued_reports_.push_back({std::move(report), kReportSends});
   ports_.has_reports();
 }
 
@@ -303,7 +306,7 @@
   switch (report.finding) {
     case RunFinding::kLeafEnded:
       DidEndLeaf(fingerprint,
-                 {report.began - kHearingError, report.ended, report.leaf});
+                 {report.began - kMaxReportDelay, report.ended, report.leaf});
       return;
     case RunFinding::kCompleted:
       (void)ledger_.DidComplete(fingerprint, report.ended);
@@ -311,7 +314,8 @@
     case RunFinding::kConvicted:
       break;
   }
-  if (RecordedState(fingerprint) || !ledger_.DidHearConviction(fingerprint)) {
+  if (RecordedState(fingerprint) ||
+      !ledger_.DidReceiveConviction(fingerprint)) {
     return;
   }
   log_.Write({.level = base::LogLevel::kWarning,
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -99,7 +99,7 @@
 
  private:
   // A report that is to be sent `times` more times.
-  struct Telling {
+  struct QueuedReport {
     RunReport report;
     int times = 0;
   };
@@ -117,14 +117,14 @@
     bool is_retrial_used = false;
   };
 
-  bool is_named_for_retrial(const Fingerprint& fingerprint) const;
+  bool is_selected_for_retrial(const Fingerprint& fingerprint) const;
   void DidCheck(const std::string& leaf, http1::PortState state);
   void DidEndLeaf(const Fingerprint& fingerprint, const EndedRun& run);
-  void Judge();
-  void TellUnrecorded();
-  void Tell(RunReport report);
-  void Contradict(const Fingerprint& fingerprint,
-                  SuspectLedger::Contradicted contradicted);
+  void ConvictDue();
+  void ReportUnrecorded();
+  void QueueReport(RunReport report);
+  void ReportContradiction(const Fingerprint& fingerprint,
+                           SuspectLedger::Contradiction contradicted);
   // The state in the store, if it is binding: a cleared request counts like one
   // that is not in the store.
   std::optional<blackboard::QuarantineState> RecordedState(
@@ -138,10 +138,10 @@
   SuspectLedger ledger_;
   // Keyed by the leaf's name.
   std::map<std::string, Check> checks_;
-  std::deque<Telling> tellings_;
+  std::deque<QueuedReport> queued_reports_;
   // Keyed by convicted request; requests that were not received are not listed.
   std::map<Fingerprint, Refusals> refusals_;
-  base::MonotonicTime told_unrecorded_;
+  base::MonotonicTime last_unrecorded_report_;
 };
 
 }  // namespace medlarspread::quarantine
--- a/src/quarantine/suspect_ledger.cc
+++ b/src/quarantine/suspect_ledger.cc
@@ -15,41 +15,41 @@
 
 // Two reports of the same end of a leaf carry ages that differ by the delays of
 // the datagrams. No process restarts and ends again within this time.
-constexpr base::Duration kSameEnd = base::Milliseconds(500);
+constexpr base::Duration kSameEndTolerance = base::Milliseconds(500);
 
 }  // namespace
 
-std::optional<SuspectLedger::Contradicted> SuspectLedger::DidEndLeaf(
+std::optional<SuspectLedger::Contradiction> SuspectLedger::DidEndLeaf(
     const Fingerprint& fingerprint,
     EndedRun run,
     MonotonicTime now) {
-  const Completion& completion = completions_[PlaceOf(fingerprint)];
+  const Completion& completion = completions_[SlotOf(fingerprint)];
   if (completion.fingerprint == fingerprint && completion.when >= run.began) {
-    return Contradicted{completion.when};
+    return Contradiction{completion.when};
   }
   if (convicted_.contains(fingerprint)) {
     return std::nullopt;
   }
   if (!suspects_.contains(fingerprint)) {
-    MakePlace();
+    EvictIfFull();
   }
   Suspect& suspect = suspects_[fingerprint];
   const bool is_own = run.is_own;
   std::erase_if(suspect.runs, [now](const EndedRun& old) {
-    return now - old.ended > kEvidenceKept;
+    return now - old.ended > kEvidenceLifetime;
   });
   // A restarted leaf may have the same name as before.
   const bool is_known = std::any_of(
       suspect.runs.begin(), suspect.runs.end(), [&run](const EndedRun& known) {
         return known.leaf == run.leaf &&
-               std::chrono::abs(known.ended - run.ended) < kSameEnd;
+               std::chrono::abs(known.ended - run.ended) < kSameEndTolerance;
       });
   if (!is_known) {
     Insert(suspect.runs, std::move(run));
   }
-  const bool is_accused = suspect.judged_at != MonotonicTime{};
+  const bool is_accused = suspect.convict_at != MonotonicTime{};
   if (!is_accused && CountRounds(suspect.runs) >= kRoundsToConvict) {
-    suspect.judged_at = now + kDeliberation;
+    suspect.convict_at = now + kConvictionDelay;
     suspect.is_own = is_own;
   }
   return std::nullopt;
@@ -58,7 +58,7 @@
 bool SuspectLedger::DidComplete(const Fingerprint& fingerprint,
                                 MonotonicTime when) {
   const bool was_convicted = convicted_.erase(fingerprint) > 0;
-  Completion& completion = completions_[PlaceOf(fingerprint)];
+  Completion& completion = completions_[SlotOf(fingerprint)];
   if (completion.fingerprint != fingerprint || completion.when < when) {
     completion = {fingerprint, when};
   }
@@ -72,14 +72,14 @@
   if (suspect.runs.empty()) {
     suspects_.erase(row);
   } else if (CountRounds(suspect.runs) < kRoundsToConvict) {
-    suspect.judged_at = {};
+    suspect.convict_at = {};
   }
   return true;
 }
 
-bool SuspectLedger::DidHearConviction(const Fingerprint& fingerprint) {
+bool SuspectLedger::DidReceiveConviction(const Fingerprint& fingerprint) {
   suspects_.erase(fingerprint);
-  if (convicted_.size() >= kMostConvicted) {
+  if (convicted_.size() >= kMaxConvicted) {
     return false;
   }
   return convicted_.insert(fingerprint).second;
@@ -98,8 +98,8 @@
   if (row == suspects_.end()) {
     return Standing::kClear;
   }
-  return row->second.judged_at == MonotonicTime{} ? Standing::kSuspect
-                                                  : Standing::kAccused;
+  return row->second.convict_at == MonotonicTime{} ? Standing::kSuspect
+                                                   : Standing::kAccused;
 }
 
 int SuspectLedger::RoundsOf(const Fingerprint& fingerprint) const {
@@ -107,24 +107,26 @@
   return row == suspects_.end() ? 0 : CountRounds(row->second.runs);
 }
 
-MonotonicTime SuspectLedger::JudgedAt(const Fingerprint& fingerprint) const {
+MonotonicTime SuspectLedger::ConvictionTimeOf(
+    const Fingerprint& fingerprint) const {
   const auto row = suspects_.find(fingerprint);
-  return row == suspects_.end() ? MonotonicTime{} : row->second.judged_at;
+  return row == suspects_.end() ? MonotonicTime{} : row->second.convict_at;
 }
 
-std::vector<Conviction> SuspectLedger::Judge(MonotonicTime now) {
+std::vector<Conviction> SuspectLedger::ConvictDue(MonotonicTime now) {
   std::vector<Conviction> convictions;
   for (auto row = suspects_.begin(); row != suspects_.end();) {
     Suspect& suspect = row->second;
     const bool is_due =
-        suspect.judged_at != MonotonicTime{} && now >= suspect.judged_at;
-    const bool has_faded = now - suspect.runs.back().ended > kEvidenceKept;
-    if (is_due && convicted_.size() < kMostConvicted) {
+        suspect.convict_at != MonotonicTime{} && now >= suspect.convict_at;
+    const bool has_expired =
+        now - suspect.runs.back().ended > kEvidenceLifetime;
+    if (is_due && convicted_.size() < kMaxConvicted) {
       convictions.push_back(
           {row->first, std::move(suspect.runs), suspect.is_own});
       convicted_.insert(row->first);
     }
-    row = is_due || has_faded ? suspects_.erase(row) : std::next(row);
+    row = is_due || has_expired ? suspects_.erase(row) : std::next(row);
   }
   return convictions;
 }
@@ -150,7 +152,7 @@
                          return left.ended < right.ended;
                        });
   runs.insert(place, std::move(run));
-  if (runs.size() <= kMostRuns) {
+  if (runs.size() <= kMaxRunsPerSuspect) {
     return;
   }
   const int rounds = CountRounds(runs);
@@ -164,8 +166,8 @@
   }
 }
 
-void SuspectLedger::MakePlace() {
-  if (suspects_.size() < kMostSuspects) {
+void SuspectLedger::EvictIfFull() {
+  if (suspects_.size() < kMaxSuspects) {
     return;
   }
   suspects_.erase(std::min_element(suspects_.begin(), suspects_.end(),
@@ -175,7 +177,7 @@
                                    }));
 }
 
-std::size_t SuspectLedger::PlaceOf(const Fingerprint& fingerprint) const {
+std::size_t SuspectLedger::SlotOf(const Fingerprint& fingerprint) const {
   std::uint64_t number = 0;
   std::memcpy(&number, fingerprint.bytes.data(), sizeof(number));
   return number % completions_.size();
--- a/src/quarantine/suspect_ledger.h
+++ b/src/quarantine/suspect_ledger.h
@@ -13,11 +13,11 @@
 //     many leaves at once, such as a rack that loses power, ends all concurrent
 //     runs of a frequent request, but only a request that crashes leaves itself
 //     does so three times in a row.
-//   - For kDeliberation an accused request is blocked, and cleared if any
+//   - For kConvictionDelay an accused request is blocked, and cleared if any
 //     daemon reports a completion. After that it is convicted, until an
 //     operator lifts the verdict or a run that was still in progress completes.
 //
-// Evidence expires: the end of a leaf counts for kEvidenceKept.
+// Evidence expires: the end of a leaf counts for kEvidenceLifetime.
 //
 // This class does no I/O; all calls must come from one sequence.
 
@@ -83,31 +83,31 @@
 // A daemon's findings reach the others within 0.3 s (gossip::ReportExchange),
 // which leaves time for a daemon that has seen the request complete to report
 // it.
-constexpr base::Duration kDeliberation = base::Milliseconds(400);
+constexpr base::Duration kConvictionDelay = base::Milliseconds(400);
 // Callers retry within minutes. Leaves crash for other reasons once in hours,
 // so that three in a row without a completion between them are no coincidence.
-constexpr base::Duration kEvidenceKept = base::Milliseconds(600'000);
+constexpr base::Duration kEvidenceLifetime = base::Milliseconds(600'000);
 
 class SuspectLedger {
  public:
   // Returned when a completion contradicts a reported end of a leaf.
-  struct Contradicted {
+  struct Contradiction {
     // The time of the completion, which is after the start of that run.
     base::MonotonicTime completed;
   };
 
   // Records that a leaf ended during a run of the request. If a completion
   // contradicts that, returns it and records nothing.
-  std::optional<Contradicted> DidEndLeaf(const Fingerprint& fingerprint,
-                                         EndedRun run,
-                                         base::MonotonicTime now);
+  std::optional<Contradiction> DidEndLeaf(const Fingerprint& fingerprint,
+                                          EndedRun run,
+                                          base::MonotonicTime now);
   // Records that a run of the request was answered at that time, which clears
   // the request, even if it was convicted: a request that crashes leaves is
   // never answered. Returns whether there was anything to clear.
   bool DidComplete(const Fingerprint& fingerprint, base::MonotonicTime when);
   // Records a conviction by another daemon. Returns false if it is known
   // already.
-  bool DidHearConviction(const Fingerprint& fingerprint);
+  bool DidReceiveConviction(const Fingerprint& fingerprint);
   // Forgets the request: its verdict is in the store now, or was lifted.
   void Forget(const Fingerprint& fingerprint);
 
@@ -115,10 +115,10 @@
   // The number of consecutive runs of a suspect that ended with their leaf.
   int RoundsOf(const Fingerprint& fingerprint) const;
   // The time at which an accused request will be convicted.
-  base::MonotonicTime JudgedAt(const Fingerprint& fingerprint) const;
+  base::MonotonicTime ConvictionTimeOf(const Fingerprint& fingerprint) const;
   // Convicts the accused requests whose time has come; returns each conviction
   // once.
-  std::vector<Conviction> Judge(base::MonotonicTime now);
+  std::vector<Conviction> ConvictDue(base::MonotonicTime now);
 
   std::size_t suspects() const { return suspects_.size(); }
   const std::set<Fingerprint>& convicted() const { return convicted_; }
@@ -129,7 +129,7 @@
     // completion that is known here.
     std::vector<EndedRun> runs;
     // Zero unless accused.
-    base::MonotonicTime judged_at;
+    base::MonotonicTime convict_at;
     bool is_own = false;
   };
 
@@ -143,26 +143,27 @@
   // second, which is one daemon's share at the design size. A later completion
   // overwrites an earlier one in its slot; this loses only one chance to clear
   // a suspect, which its next run provides again. 128 KB.
-  static constexpr std::size_t kCompletions = 4096;
+  static constexpr std::size_t kCompletionSlots = 4096;
   // The maximum number of suspects; beyond it, the one whose last leaf ended
   // first is dropped. Each suspect costs a leaf, so callers cannot fill the
   // table: it holds the crashes of a day at the design size.
-  static constexpr std::size_t kMostSuspects = 1024;
-  static constexpr std::size_t kMostConvicted = 4096;
+  static constexpr std::size_t kMaxSuspects = 1024;
+  static constexpr std::size_t kMaxConvicted = 4096;
   // The maximum number of runs kept per suspect; rounds beyond kRoundsToConvict
   // never count.
-  static constexpr std::size_t kMostRuns = 16;
+  static constexpr std::size_t kMaxRunsPerSuspect = 16;
 
   static int CountRounds(const std::vector<EndedRun>& runs);
   // Inserts the run. If there are too many, removes one that does not affect
   // the number of rounds.
   static void Insert(std::vector<EndedRun>& runs, EndedRun run);
-  void MakePlace();
-  std::size_t PlaceOf(const Fingerprint& fingerprint) const;
+  void EvictIfFull();
+  std::size_t SlotOf(const Fingerprint& fingerprint) const;
 
   std::map<Fingerprint, Suspect> suspects_;
   std::set<Fingerprint> convicted_;
-  std::vector<Completion> completions_ = std::vector<Completion>(kCompletions);
+  std::vector<Completion> completions_ =
+      std::vector<Completion>(kCompletionSlots);
 };
 
 }  // namespace medlarspread::quarantine
--- a/src/quarantine/verdict_controller.cc
+++ b/src/quarantine/verdict_controller.cc
@@ -15,17 +15,17 @@
 
 // Each store call costs money; until the write succeeds, the daemons learn the
 // verdict from each other.
-constexpr base::Duration kRetry = base::Milliseconds(1'000);
+constexpr base::Duration kRetryDelay = base::Milliseconds(1'000);
 // The convicting daemon writes at once, and its write arrives as a store event
 // within a second. Only after that do the others write, spread over a random
 // time.
-constexpr base::Duration kPatience = base::Milliseconds(2'500);
-constexpr base::Duration kSpread = base::Milliseconds(5'000);
+constexpr base::Duration kMinWriteDelay = base::Milliseconds(2'500);
+constexpr base::Duration kMaxRandomDelay = base::Milliseconds(5'000);
 // By then every daemon has read the restored store, from whichever source.
 constexpr base::Duration kRestoreSettled = base::Milliseconds(30'000);
 // Each verdict costs three leaves, so one deployment never collects more than
 // this number; at 300 bytes each they use 1.2 MB of memory per daemon.
-constexpr std::size_t kMostEntries = 4096;
+constexpr std::size_t kMaxEntries = 4096;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
 void VerdictController::Record(const Fingerprint& fingerprint,
                                QuarantineEntry entry) {
   const std::string text = ToText(fingerprint);
-  if (!view_.entries.contains(text) && view_.entries.size() >= kMostEntries) {
+  if (!view_.entries.contains(text) && view_.entries.size() >= kMaxEntries) {
     log_.Write(
         {.level = base::LogLevel::kError,
          .step = base::Step::kWriteStore,
@@ -61,7 +61,7 @@
 void VerdictController::RecordIfMissing(const Fingerprint& fingerprint,
                                         QuarantineEntry entry) {
   control_.After(
-      kPatience + ByChance(kSpread),
+      kMinWriteDelay + RandomDelay(kMaxRandomDelay),
       [self = shared_from_this(), fingerprint, entry = std::move(entry)] {
         if (!self->is_stopped_ && !self->is_known(ToText(fingerprint))) {
           self->Record(fingerprint, entry);
@@ -69,13 +69,13 @@
       });
 }
 
-base::Duration VerdictController::ByChance(base::Duration longest) {
+base::Duration VerdictController::RandomDelay(base::Duration longest) {
   return base::Duration(static_cast<std::int64_t>(
       random_->Unit() * static_cast<double>(longest.count())));
 }
 
 void VerdictController::DidRestoreStore() {
-  at_risk_ = view_.entries;
+  known_at_restore_ = view_.entries;
   for (const auto& [text, entry] : std::exchange(acknowledged_, {})) {
     if (const auto fingerprint = FingerprintFromText(text)) {
       RecordIfMissing(*fingerprint, entry);
@@ -84,7 +84,7 @@
   control_.After(kRestoreSettled,
                  [self = shared_from_this(), restore = ++restores_] {
                    if (self->restores_ == restore) {
-                     self->at_risk_.clear();
+                     self->known_at_restore_.clear();
                    }
                  });
 }
@@ -92,16 +92,16 @@
 bool VerdictController::IsLost(
     const std::string& fingerprint,
     const std::optional<QuarantineEntry>& entry) const {
-  const auto known = at_risk_.find(fingerprint);
-  if (known == at_risk_.end()) {
+  const auto known = known_at_restore_.find(fingerprint);
+  if (known == known_at_restore_.end()) {
     return false;
   }
   const bool was_lifted = known->second.state == QuarantineState::kLifted;
   return !entry || (was_lifted && entry->state != QuarantineState::kLifted);
 }
 
-void VerdictController::WriteAgainIfMissing(const std::string& fingerprint) {
-  if (!lost_.insert(fingerprint).second) {
+void VerdictController::RewriteIfMissing(const std::string& fingerprint) {
+  if (!to_rewrite_.insert(fingerprint).second) {
     return;
   }
   log_.Write({.level = base::LogLevel::kInfo,
@@ -110,15 +110,16 @@
                          "fingerprint " +
                          fingerprint +
                          "; it stays in force and is written again"});
-  control_.After(ByChance(kSpread), [self = shared_from_this(), fingerprint] {
-    const bool is_missing = self->lost_.erase(fingerprint) > 0;
-    const auto text = FingerprintFromText(fingerprint);
-    const auto known = self->view_.entries.find(fingerprint);
-    if (is_missing && text && known != self->view_.entries.end() &&
-        !self->is_stopped_) {
-      self->Record(*text, known->second);
-    }
-  });
+  control_.After(
+      RandomDelay(kMaxRandomDelay), [self = shared_from_this(), fingerprint] {
+        const bool is_missing = self->to_rewrite_.erase(fingerprint) > 0;
+        const auto text = FingerprintFromText(fingerprint);
+        const auto known = self->view_.entries.find(fingerprint);
+        if (is_missing && text && known != self->view_.entries.end() &&
+            !self->is_stopped_) {
+          self->Record(*text, known->second);
+        }
+      });
 }
 
 bool VerdictController::is_known(const std::string& fingerprint) const {
@@ -151,7 +152,7 @@
                    " was not written to the store; it is written again");
          }
          self->control_.After(
-             kRetry, [self, fingerprint] { self->Write(fingerprint); });
+             kRetryDelay, [self, fingerprint] { self->Write(fingerprint); });
        });
 }
 
@@ -170,11 +171,11 @@
     return;
   }
   if (IsLost(fingerprint, entry)) {
-    WriteAgainIfMissing(fingerprint);
+    RewriteIfMissing(fingerprint);
     return;
   }
   acknowledged_.erase(fingerprint);
-  lost_.erase(fingerprint);
+  to_rewrite_.erase(fingerprint);
   const auto pending = pending_.find(fingerprint);
   const bool is_settled =
       entry &&
--- a/src/quarantine/verdict_controller.h
+++ b/src/quarantine/verdict_controller.h
@@ -70,10 +70,10 @@
   // restore.
   bool IsLost(const std::string& fingerprint,
               const std::optional<blackboard::QuarantineEntry>& entry) const;
-  void WriteAgainIfMissing(const std::string& fingerprint);
+  void RewriteIfMissing(const std::string& fingerprint);
   // A random duration of up to `longest`, so that daemons do not all act at
   // once.
-  base::Duration ByChance(base::Duration longest);
+  base::Duration RandomDelay(base::Duration longest);
 
   const base::TaskRunner control_;
   const std::shared_ptr<base::Random> random_;
@@ -88,9 +88,9 @@
   std::map<std::string, blackboard::QuarantineEntry> acknowledged_;
   // The verdicts known when the store was restored; empty once the restore has
   // settled.
-  std::map<std::string, blackboard::QuarantineEntry> at_risk_;
+  std::map<std::string, blackboard::QuarantineEntry> known_at_restore_;
   // Verdicts to be written again unless another daemon does so first.
-  std::set<std::string> lost_;
+  std::set<std::string> to_rewrite_;
   int restores_ = 0;
   bool is_stopped_ = false;
 };
--- a/src/quarantine/verdict_entry.cc
+++ b/src/quarantine/verdict_entry.cc
@@ -10,14 +10,14 @@
 namespace {
 
 // Enough for about eight leaves with the times at which they ended.
-constexpr std::size_t kMostEvidence = 300;
+constexpr std::size_t kMaxEvidenceBytes = 300;
 
 }  // namespace
 
 std::string EncodeVerdict(const blackboard::QuarantineEntry& entry) {
   return std::string(blackboard::kQuarantineStateNames.NameOf(entry.state)) +
          ' ' + std::to_string(entry.wall_ms) + ' ' +
-         entry.evidence.substr(0, kMostEvidence);
+         entry.evidence.substr(0, kMaxEvidenceBytes);
 }
 
 std::optional<blackboard::QuarantineEntry> DecodeVerdict(
--- a/tests/quarantine/quarantine_test.cc
+++ b/tests/quarantine/quarantine_test.cc
@@ -47,7 +47,7 @@
     for (int round = 0; round < kRoundsToConvict; ++round) {
       Lose(PortState::kRefused);
     }
-    time_->Advance(kDeliberation);
+    time_->Advance(kConvictionDelay);
     (void)quarantine_->TakeReports(kMost);
   }
 
@@ -131,7 +131,7 @@
                         now + Milliseconds(5), "elsewhere"});
   EXPECT_EQ(quarantine_->StandingOf(request_), Standing::kAccused);
   EXPECT_GT(quarantine_->RetryAfter(request_), base::Duration{});
-  EXPECT_LE(quarantine_->RetryAfter(request_), kDeliberation);
+  EXPECT_LE(quarantine_->RetryAfter(request_), kConvictionDelay);
   quarantine_->DidHear({request_, RunFinding::kCompleted, now + Milliseconds(9),
                         now + Milliseconds(9), ""});
   EXPECT_EQ(quarantine_->StandingOf(request_), Standing::kClear);
--- a/tests/quarantine/suspect_ledger_test.cc
+++ b/tests/quarantine/suspect_ledger_test.cc
@@ -31,7 +31,7 @@
   }
 
   SuspectLedger ledger_;
-  std::optional<SuspectLedger::Contradicted> contradicted_;
+  std::optional<SuspectLedger::Contradiction> contradicted_;
   int leaves_ = 0;
   const Fingerprint request_ = Name(1);
 };
@@ -43,13 +43,13 @@
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kSuspect);
   EndLeaf(request_, 6'000, 6'010);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kAccused);
-  EXPECT_TRUE(ledger_.Judge(At(6'400)).empty());
-  const auto convictions = ledger_.Judge(At(6'410));
+  EXPECT_TRUE(ledger_.ConvictDue(At(6'400)).empty());
+  const auto convictions = ledger_.ConvictDue(At(6'410));
   ASSERT_EQ(convictions.size(), 1U);
   EXPECT_EQ(convictions.front().fingerprint, request_);
   EXPECT_EQ(convictions.front().runs.size(), 3U);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kConvicted);
-  EXPECT_TRUE(ledger_.Judge(At(7'000)).empty()) << "convicted twice";
+  EXPECT_TRUE(ledger_.ConvictDue(At(7'000)).empty()) << "convicted twice";
 }
 
 // A power loss in a rack, a new release, or a service whose leaves all end at
@@ -88,12 +88,12 @@
   EndLeaf(request_, 1'040, 1'050);
   EXPECT_TRUE(ledger_.DidComplete(request_, At(1'060)));
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
-  EXPECT_TRUE(ledger_.Judge(At(9'000)).empty());
+  EXPECT_TRUE(ledger_.ConvictDue(At(9'000)).empty());
 }
 
 // A run of some seconds was in progress when the request was convicted.
 TEST_F(SuspectLedgerTest, ACompletionClearsTheConvicted) {
-  ledger_.DidHearConviction(request_);
+  ledger_.DidReceiveConviction(request_);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kConvicted);
   EXPECT_TRUE(ledger_.DidComplete(request_, At(9'000)));
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
@@ -133,15 +133,15 @@
 TEST_F(SuspectLedgerTest, EvidenceFades) {
   EndLeaf(request_, 1'000, 1'010);
   EndLeaf(request_, 2'000, 2'010);
-  const int later = 2'010 + static_cast<int>(kEvidenceKept.count() / 1'000);
+  const int later = 2'010 + static_cast<int>(kEvidenceLifetime.count() / 1'000);
   EndLeaf(request_, later + 10, later + 20);
   EXPECT_EQ(ledger_.RoundsOf(request_), 1);
-  EXPECT_TRUE(ledger_.Judge(At(3 * later)).empty());
+  EXPECT_TRUE(ledger_.ConvictDue(At(3 * later)).empty());
   EXPECT_EQ(ledger_.suspects(), 0U);
 }
 
 TEST_F(SuspectLedgerTest, WhatIsLiftedStartsAnew) {
-  ledger_.DidHearConviction(request_);
+  ledger_.DidReceiveConviction(request_);
   ledger_.Forget(request_);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
 }
