--- a/src/claims/bucket.cc
+++ b/src/claims/bucket.cc
@@ -1,4 +1,4 @@
-// The group commit of one key.
+// Group commit of the claims of one key.
 
 #include "src/claims/bucket.h"
 
@@ -11,8 +11,8 @@
 
 constexpr int kMostDoublings = 5;
 
-// Identifiers of that many slices before the present one count as on time:
-// that is how long a request takes to get here.
+// Identifiers from up to this many slices before the current one count as on
+// time, which covers the time that a request takes to arrive.
 constexpr std::int64_t kSlicesOnTime = 2;
 
 }  // namespace
@@ -47,7 +47,8 @@
     return;
   }
   if (!is_known_ && is_late()) {
-    // Somebody else has probably written it: a read costs less than a conflict.
+    // Another daemon has probably written the key: a read costs less than a
+    // conflict.
     Read();
     return;
   }
@@ -94,7 +95,7 @@
       GiveUp(claim, MakeError(base::ErrorCode::kOverloaded, "the key is full"));
       continue;
     }
-    // Of two claims of one identifier the first is recorded.
+    // If two claims have the same identifier, the first is recorded.
     added.Add(claim.request_id, claim.nonce);
     group_.push_back(std::move(claim));
   }
@@ -155,7 +156,8 @@
 void Bucket::DidRead(const base::Result<std::optional<store::Entry>>& result) {
   phase_ = Phase::kIdle;
   if (!result.is_ok()) {
-    // NOTE: The next swap serves as well to find out where the key stands.
+    // NOTE: The next swap determines the state of the key as well as another
+    // read.
     CountFailure(result.error());
     BackOff();
     Pump();
@@ -167,7 +169,7 @@
   const base::Result<RecordedClaims> stored =
       RecordedClaims::Parse(entry.value);
   if (!stored.is_ok()) {
-    // It is never overwritten: it may hold claims that are not understood.
+    // The value is never overwritten: it may hold claims in another format.
     context_->log.DidFail(stored.error(), "no claim is made under " + key_);
     for (const PendingClaim& claim : std::exchange(queue_, {})) {
       GiveUp(claim, stored.error());
@@ -245,7 +247,7 @@
   const int doublings = std::min(failures_in_a_row_++, kMostDoublings);
   const base::Duration longest =
       context_->settings.store_backoff * (std::int64_t{1} << doublings);
-  // Jitter keeps the daemons from returning to the store all at once.
+  // Jitter prevents the daemons from calling the store again all at once.
   const auto half = static_cast<std::uint64_t>(longest.count() / 2);
   const auto jitter =
       static_cast<std::int64_t>(context_->random.Below(half + 1));
@@ -273,7 +275,8 @@
   }
   if (!IsWithinRetention(claim.made_at_ms,
                          context_->clock.WallMilliseconds())) {
-    return MakeError(base::ErrorCode::kExpired, "outside of the retention");
+    return MakeError(base::ErrorCode::kExpired,
+                     "outside of the retention period");
   }
   return std::nullopt;
 }
@@ -311,7 +314,7 @@
 void Bucket::Settle(const PendingClaim& claim,
                     ClaimOutcome outcome,
                     const base::Error& error) {
-  // Posted, so that whoever is told may add claims again.
+  // Posted, so that the callback may add claims again.
   context_->runner.Post([did_settle = claim.did_settle, outcome, error] {
     did_settle(outcome, error);
   });
--- a/src/claims/claim_context.h
+++ b/src/claims/claim_context.h
@@ -1,4 +1,5 @@
-// What all parts of one daemon's claims share. Used on their sequence only.
+// State shared by all parts of one daemon's claims. Used on the claims'
+// sequence only.
 
 #ifndef MEDLARSPREAD_CLAIMS_CLAIM_CONTEXT_H_
 #define MEDLARSPREAD_CLAIMS_CLAIM_CONTEXT_H_
@@ -24,13 +25,13 @@
   base::Log log;
   ClaimCounts counts;
 
-  // Identifiers made before this time are not claimed anew by this daemon.
-  // Invariant: never decreases.
+  // Identifiers created before this time are not claimed by this daemon any
+  // more. Invariant: never decreases.
   std::int64_t floor_ms = 0;
 
-  // Notes that the store lost confirmed writes, as after a restore from an
-  // older copy. Claims made until now may be among the lost, so their
-  // identifiers must not be granted again.
+  // Called when the store has lost confirmed writes, as after a restore from an
+  // older backup. Claims of identifiers created until now may be among the lost
+  // ones, so they must not be granted again.
   void DidFindLostState() {
     ++counts.lost_states;
     floor_ms = std::max(floor_ms, clock.WallMilliseconds() +
--- a/src/claims/claim_counts.h
+++ b/src/claims/claim_counts.h
@@ -1,5 +1,5 @@
-// What the claims part of one daemon did since it started, for the metrics page
-// and for the capacity bench.
+// Counters of one daemon's claims since it started, for the metrics page and
+// the capacity benchmark.
 
 #ifndef MEDLARSPREAD_CLAIMS_CLAIM_COUNTS_H_
 #define MEDLARSPREAD_CLAIMS_CLAIM_COUNTS_H_
@@ -14,23 +14,24 @@
   std::int64_t reads = 0;
   std::int64_t lists = 0;
   std::int64_t erases = 0;
-  // Swaps that were refused because another daemon wrote the key.
+  // Swaps rejected because another daemon had written the key.
   std::int64_t conflicts = 0;
-  // Swaps whose outcome was not known at first.
+  // Swaps whose outcome was unknown at first.
   std::int64_t unknown_swaps = 0;
   // Bytes of values sent with swaps.
   std::int64_t bytes_written = 0;
 
-  // Outcomes of the claims that this daemon's own sessions asked for.
+  // Outcomes of the claims requested by this daemon's own sessions.
   std::int64_t granted = 0;
   std::int64_t taken = 0;
   std::int64_t refused = 0;
   std::int64_t unsettled = 0;
   std::int64_t expired = 0;
 
-  // The store was found to have lost writes that it had confirmed.
+  // How often the store was found to have lost confirmed writes.
   std::int64_t lost_states = 0;
-  // One identifier was found under two nonces: the store lost the first.
+  // Identifiers that were recorded with two nonces because the store lost the
+  // first.
   std::int64_t clashes = 0;
 };
 
--- a/src/claims/claim_port.h
+++ b/src/claims/claim_port.h
@@ -1,5 +1,5 @@
-// Claims decide which daemon may send a non-idempotent request upstream. The
-// query sessions ask for one through this port before anything is sent.
+// Claims determine which daemon may send a non-idempotent request upstream. The
+// query sessions obtain one through this port before they send anything.
 
 #ifndef MEDLARSPREAD_CLAIMS_CLAIM_PORT_H_
 #define MEDLARSPREAD_CLAIMS_CLAIM_PORT_H_
@@ -13,16 +13,18 @@
 namespace medlarspread::claims {
 
 enum class ClaimOutcome {
-  // This daemon's nonce is recorded: it alone may send, once.
+  // This daemon's nonce is recorded: only this daemon may send the request,
+  // once.
   kGranted,
-  // Another nonce is recorded: the request may have run or be running.
+  // Another nonce is recorded: the request may be executing or have been
+  // executed.
   kTaken,
-  // Certainly not recorded under this nonce, and nothing was sent: not run.
+  // Certainly not recorded with this nonce, and nothing was sent: not executed.
   kRefused,
-  // It could not be settled before the deadline whether the claim is recorded.
-  // Nothing was sent by this daemon and nothing ever will be.
+  // Whether the claim is recorded could not be determined before the deadline.
+  // This daemon has sent nothing and will not.
   kUnsettled,
-  // The identifier is older than the retention, or from the future.
+  // The identifier is older than the retention period, or from the future.
   kExpired,
 };
 
@@ -35,7 +37,8 @@
   base::Duration retry_after{};
 };
 
-// Calls back once. `nonce` must be new for each call of each incarnation.
+// The callback runs once. `nonce` must be unique over all calls and
+// incarnations.
 using ClaimPort = std::function<void(std::string request_id,
                                      std::string nonce,
                                      base::Duration deadline_left,
--- a/src/claims/claim_protocol.cc
+++ b/src/claims/claim_protocol.cc
@@ -1,4 +1,4 @@
-// Ages, slices and keys of request identifiers.
+// Computes ages, slices and keys of request identifiers.
 
 #include "src/claims/claim_protocol.h"
 
--- a/src/claims/claim_service.cc
+++ b/src/claims/claim_service.cc
@@ -1,4 +1,4 @@
-// Routes claims between sessions, the group commit and other daemons.
+// Routes claims between the query sessions, the group commit and other daemons.
 
 #include "src/claims/claim_service.h"
 
@@ -46,8 +46,9 @@
   return result;
 }
 
-// An asker that goes elsewhere while its claim waits for the next group makes a
-// second daemon write the key, so it has to wait for longer than a group does.
+// If the requesting daemon turned to another daemon while its claim waited for
+// the next group, two daemons would write the key. So it must wait for longer
+// than the interval between groups.
 ClaimSettings MakeConsistent(ClaimSettings settings) {
   settings.late_group_interval =
       std::max(settings.late_group_interval, settings.group_interval);
@@ -81,7 +82,7 @@
   const ClaimCounts& counts() const { return context_->counts; }
   const base::TaskRunner& runner() const { return context_->runner; }
 
-  // Runs `method` with `arguments` later, on the sequence of claims.
+  // Posts a call of `method` with `arguments` to the claims' sequence.
   template <typename... Parameters, typename... Arguments>
   void Post(void (Impl::*method)(Parameters...), Arguments... arguments) {
     context_->runner.Post([self = shared_from_this(), method, arguments...] {
@@ -101,7 +102,7 @@
   void CheckStopped(const std::function<void()>& did_stop);
 
  private:
-  // The answer to a question that needs no claim, if there is one.
+  // Returns the result if it can be given without a claim.
   std::optional<ClaimResult> AnswerAtOnce(
       const Question& question,
       const std::optional<std::int64_t>& made_at_ms) const;
@@ -122,7 +123,7 @@
   const peer::PeerPort peers_;
   const blackboard::Blackboard& blackboard_;
   RecentClaims recent_;
-  // The claims that this daemon's sessions wait for, by claim identifier.
+  // The open claims of this daemon's sessions, keyed by claim identifier.
   std::map<std::int64_t, std::shared_ptr<ClaimSession>> sessions_;
   bool is_stopping_ = false;
 };
@@ -179,8 +180,8 @@
                                       std::int64_t made_at_ms) {
   const auto view = blackboard_.membership.Read();
   ClaimTask task;
-  // Drawn at random, so that a reply owed to an earlier incarnation of this
-  // daemon is never taken for one to this claim.
+  // Random, so that a late reply to an earlier incarnation of this daemon is
+  // never taken for a reply to this claim.
   task.claim_id =
       static_cast<std::int64_t>(context_->random.Below(kClaimIdBound));
   task.request_id = question.request_id;
@@ -244,7 +245,8 @@
     return;
   }
   if (is_stopping_) {
-    // Unsettled, not refused: the asker goes on to the next daemon.
+    // kUnsettled rather than kRefused, so that the requesting daemon tries the
+    // next daemon.
     Reply(sender.name, request, ClaimOutcome::kUnsettled, "stopping");
     return;
   }
@@ -259,8 +261,9 @@
     const bool is_unreachable_from_here =
         outcome == ClaimOutcome::kRefused &&
         error.code == base::ErrorCode::kUnreachable;
-    // Unsettled lets the asker go on to a daemon that may reach the store. A
-    // store that answers with a refusal would only get more load that way.
+    // kUnsettled makes the requesting daemon try a daemon that may reach the
+    // store. If the store itself refused the call, that would only add to its
+    // load.
     self->Reply(peer, request,
                 is_unreachable_from_here ? ClaimOutcome::kUnsettled : outcome,
                 error.detail);
@@ -277,7 +280,8 @@
   reply.request_id = request.request_id;
   reply.outcome = static_cast<std::int32_t>(outcome);
   reply.detail = detail;
-  // A reply that can't be sent is as good as lost: the asker's timer decides.
+  // A reply that cannot be sent is treated as lost: the timer of the requesting
+  // daemon handles it.
   static_cast<void>(peers_.send(peer, reply).is_ok());
 }
 
@@ -287,7 +291,7 @@
   if (found == sessions_.end()) {
     return;
   }
-  // Kept alive here, because the session leaves the map when it ends.
+  // Keeps the session alive, because it is removed from the map when it ends.
   const std::shared_ptr<ClaimSession> session = found->second;
   session->DidReceive(sender.name, reply);
 }
@@ -349,8 +353,8 @@
     Question question;
     question.request_id = std::move(request_id);
     question.nonce = std::move(nonce);
-    // Read before the identifier's age is checked, so that a pause between the
-    // two shortens the wait.
+    // The clock is read before the identifier's age is checked, so that a pause
+    // between the two shortens the wait.
     question.deadline = impl->clock().Now() + BoundWait(deadline_left);
     question.callback = std::move(callback);
     impl->Post(&Impl::Ask, std::move(question));
--- a/src/claims/claim_service.h
+++ b/src/claims/claim_service.h
@@ -1,19 +1,19 @@
-// The part of a daemon that obtains claims for its query sessions and groups
-// the claims of other daemons. Safe to call from any thread; the work is done
-// on one sequence.
+// Obtains claims for the daemon's query sessions and groups claims of other
+// daemons. Safe to call from any thread; the work is done on one sequence.
 //
-// The protocol, for one claim:
-//  1. The asker checks the identifier's age and picks the daemon that groups
-//     the claims of its key: the first in rendezvous order.
-//  2. That daemon records (identifier, nonce) with other claims of the key by
-//     one compare-and-swap. Two daemons that both group one key conflict on
-//     the swap, and the loser reads again.
-//  3. A swap of unknown outcome is settled by reading back.
-//  4. The asker is told. It grants only if it is still waiting and its deadline
-//     has not passed; only the asker ever sends.
-//  5. If the answer does not come, the asker tries the next in order, then
-//     commits the claim itself. The nonce stays the same, so that a claim that
-//     was recorded twice over is still one claim.
+// The protocol for one claim:
+//   1. The requesting daemon checks the identifier's age and selects the daemon
+//      that groups the claims of its key: the first in rendezvous order.
+//   2. That daemon records (identifier, nonce) together with other claims of
+//      the key by one compare-and-swap. If two daemons group claims of the same
+//      key, their swaps conflict, and the loser reads the key again.
+//   3. A swap of unknown outcome is resolved by reading the key.
+//   4. The outcome is sent to the requesting daemon. It grants the claim only
+//      if it is still waiting and its deadline has not passed; no other daemon
+//      sends the request.
+//   5. If no reply arrives, the requesting daemon tries the next daemon in
+//      order, and finally commits the claim itself. The nonce stays the same,
+//      so that a claim that is recorded twice is still a single claim.
 
 #ifndef MEDLARSPREAD_CLAIMS_CLAIM_SERVICE_H_
 #define MEDLARSPREAD_CLAIMS_CLAIM_SERVICE_H_
@@ -50,10 +50,10 @@
   ClaimService(const ClaimService&) = delete;
   ClaimService& operator=(const ClaimService&) = delete;
 
-  // Starts the erasing of expired claims.
+  // Starts erasing expired claims.
   void Start();
 
-  // For the query sessions. Its callbacks run on the service's sequence.
+  // The port for query sessions. Its callbacks run on the service's sequence.
   ClaimPort port();
 
   void DidReceive(const peer::Sender& sender,
@@ -62,12 +62,12 @@
                   const peer::wire::ClaimReply& reply);
   void DidLosePeer(const std::string& peer);
 
-  // Refuses new claims, and calls back once those under way are settled: at
-  // the latest when their deadlines have passed. Call it after the sessions
-  // have ended. Other daemons are told to ask elsewhere.
+  // Refuses new claims, and calls back once the open ones are settled, which is
+  // at the latest when their deadlines have passed. Call it after the sessions
+  // have ended. Other daemons are told to ask the next daemon.
   void Stop(std::function<void()> did_stop);
 
-  // Runs `callback` with the counts on the service's sequence.
+  // Runs `callback` with the counters on the service's sequence.
   void ReadCounts(std::function<void(ClaimCounts)> callback);
 
  private:
--- a/src/claims/claim_session.cc
+++ b/src/claims/claim_session.cc
@@ -1,4 +1,4 @@
-// The asker's side of one claim.
+// The requesting daemon's side of one claim.
 
 #include "src/claims/claim_session.h"
 
@@ -70,7 +70,7 @@
   }
   ++forwards_;
   asked_ = peer;
-  // Half of the time left is kept for the next daemon.
+  // Half of the remaining time is reserved for the next daemon.
   forward_timer_ = context_->runner.After(
       std::min(context_->settings.forward_timeout, left / 2),
       [self = shared_from_this(), peer] { self->DidLosePeer(peer); });
@@ -102,7 +102,7 @@
   const bool is_certain =
       outcome == ClaimOutcome::kGranted || outcome == ClaimOutcome::kTaken;
   if (!is_certain && peer != asked_) {
-    // A daemon that was given up on has nothing to say about the next one.
+    // A late reply of an earlier peer must not end the wait for the next one.
     return;
   }
   DidLearn(outcome,
@@ -113,7 +113,7 @@
   if (!did_finish_ || peer != asked_) {
     return;
   }
-  // The request or its reply may be lost: the nonce may be recorded.
+  // The request or its reply may be lost, so the nonce may be recorded.
   may_be_recorded_ = true;
   TryNext();
 }
@@ -146,7 +146,7 @@
       }
       return;
   }
-  // An outcome that this version does not know says nothing.
+  // An outcome that this version does not know is treated as unknown.
   may_be_recorded_ = true;
 }
 
@@ -154,7 +154,7 @@
   if (!did_finish_) {
     return;
   }
-  // NOTE: the committer may have the claim in a swap at this moment.
+  // NOTE: the committer may have a swap with this claim in progress.
   may_be_recorded_ = true;
   GiveUp(MakeError(base::ErrorCode::kTimeout, asked_,
                    "the claim was not settled in time"));
@@ -171,7 +171,8 @@
   ClaimResult result;
   result.outcome = outcome;
   result.error = error;
-  // A daemon that was paused may get here long after the caller has gone.
+  // A daemon that was paused may get here long after the caller has
+  // disconnected.
   if (outcome == ClaimOutcome::kGranted &&
       task_.deadline <= context_->clock.Now()) {
     result.outcome = ClaimOutcome::kUnsettled;
--- a/src/claims/claim_session.h
+++ b/src/claims/claim_session.h
@@ -1,9 +1,9 @@
-// One claim from the asker's side: asks the daemon that groups the claims of
-// the key, then the next in order, then commits it here. It keeps itself alive
-// through its timers and callbacks until it has answered.
+// Obtains one claim for the requesting daemon: asks the daemon that groups the
+// claims of the key, then the next in order, and finally commits the claim on
+// this daemon. Its timers and callbacks keep it alive until it has answered.
 //
 // Only this session turns a recorded nonce into a grant, at most once and only
-// before its deadline. Whatever arrives after it has answered is dropped.
+// before its deadline. Replies that arrive after it has answered are dropped.
 
 #ifndef MEDLARSPREAD_CLAIMS_CLAIM_SESSION_H_
 #define MEDLARSPREAD_CLAIMS_CLAIM_SESSION_H_
@@ -24,13 +24,15 @@
 namespace medlarspread::claims {
 
 struct ClaimTask {
-  // Matches replies to this session; unique over incarnations, by chance.
+  // Matches replies to this session. Random, and therefore unique over
+  // incarnations with high probability.
   std::int64_t claim_id = 0;
   std::string request_id;
   std::string nonce;
   std::int64_t made_at_ms = 0;
   base::MonotonicTime deadline;
-  // The daemons that may group the claim, best first. May contain `self`.
+  // The daemons that may group the claim, in order of preference. May contain
+  // `self`.
   std::vector<std::string> candidates;
   std::string self;
 };
@@ -47,17 +49,17 @@
 
   void Start();
   void DidReceive(const std::string& peer, const peer::wire::ClaimReply& reply);
-  // Goes on to the next daemon if this one was being asked.
+  // Asks the next daemon if `peer` was being asked.
   void DidLosePeer(const std::string& peer);
 
  private:
   void TryNext();
   bool Ask(const std::string& peer);
   void CommitHere();
-  // What a daemon, or this one's own committer, says of the nonce.
+  // Handles the outcome reported by a peer or by this daemon's own committer.
   void DidLearn(ClaimOutcome outcome, const base::Error& error);
   void DidPassDeadline();
-  // Ends without a grant and without knowing another's claim.
+  // Ends without a grant when no other claim is known either.
   void GiveUp(const base::Error& error);
   void Finish(ClaimOutcome outcome, const base::Error& error);
 
@@ -70,10 +72,10 @@
 
   std::size_t next_candidate_ = 0;
   int forwards_ = 0;
-  // The daemon that is being asked; empty if none is.
+  // The peer that is being asked; empty if none is.
   std::string asked_;
   bool is_committing_here_ = false;
-  // A daemon that was asked did not say what became of the nonce.
+  // Whether an earlier peer may have recorded the nonce without replying.
   bool may_be_recorded_ = false;
   base::Timer forward_timer_;
   base::Timer deadline_timer_;
--- a/src/claims/claim_store.cc
+++ b/src/claims/claim_store.cc
@@ -1,4 +1,4 @@
-// Counted calls to the key-value service.
+// Makes and counts calls to the store.
 
 #include "src/claims/claim_store.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Wraps `callback` so that it runs on the sequence of claims.
+// Wraps `callback` so that it runs on the claims' sequence.
 template <typename Value>
 std::function<void(base::Result<Value>)> OnSequence(
     const base::TaskRunner& runner,
@@ -59,8 +59,8 @@
 }
 
 StoreFailure ClassifyStoreFailure(const base::Error& error) {
-  // NOTE: an error that the store does not promise to be harmless counts as
-  // unknown, so that a new kind of error can't lead to a false refusal.
+  // NOTE: an error counts as unknown unless the store guarantees that the call
+  // had no effect, so that a new kind of error cannot lead to a false refusal.
   if (error.code == base::ErrorCode::kConflict) {
     return StoreFailure::kConflict;
   }
--- a/src/claims/claim_store.h
+++ b/src/claims/claim_store.h
@@ -1,5 +1,5 @@
-// The calls to the key-value service that claims make: bounded in time, counted
-// and answered on the sequence of claims.
+// The store calls of claims: with a timeout, counted, and answered on the
+// claims' sequence.
 
 #ifndef MEDLARSPREAD_CLAIMS_CLAIM_STORE_H_
 #define MEDLARSPREAD_CLAIMS_CLAIM_STORE_H_
@@ -17,7 +17,7 @@
  public:
   ClaimStore(std::shared_ptr<ClaimContext> context, store::Store store);
 
-  // The callbacks run once, later, on the sequence of claims.
+  // The callbacks run once, asynchronously, on the claims' sequence.
   void Swap(const std::string& key,
             std::string value,
             std::int64_t expected_version,
@@ -33,13 +33,13 @@
   const store::Store store_;
 };
 
-// What a failed call says about the key.
+// The state of the key after a failed call.
 enum class StoreFailure {
-  // The store did nothing.
+  // The call had no effect.
   kNothingDone,
   // The key has another version than expected.
   kConflict,
-  // A write may have taken effect, or may still do so.
+  // A write may have taken effect, or may still take effect.
   kUnknown,
 };
 
--- a/src/claims/group_committer.cc
+++ b/src/claims/group_committer.cc
@@ -1,4 +1,4 @@
-// Keeps the buckets of the keys in use.
+// Keeps one bucket for each key in use.
 
 #include "src/claims/group_committer.h"
 
@@ -46,7 +46,7 @@
       }
     }
     if (oldest == buckets_.end()) {
-      // All are busy; the bound on open claims bounds them.
+      // All are busy; their number is limited by the maximum of open claims.
       return;
     }
     buckets_.erase(oldest);
--- a/src/claims/group_committer.h
+++ b/src/claims/group_committer.h
@@ -1,5 +1,5 @@
-// The keys of claims that this daemon writes at present, each with its group
-// commit. Claims come from this daemon's sessions and from other daemons.
+// Holds the group commits of the keys to which this daemon currently writes
+// claims. The claims come from this daemon's sessions and from other daemons.
 
 #ifndef MEDLARSPREAD_CLAIMS_GROUP_COMMITTER_H_
 #define MEDLARSPREAD_CLAIMS_GROUP_COMMITTER_H_
@@ -21,14 +21,14 @@
   GroupCommitter(std::shared_ptr<ClaimContext> context,
                  std::shared_ptr<ClaimStore> store);
 
-  // Settles the claim at once if the settings allow no more open claims.
+  // Refuses the claim at once if the maximum number of open claims is reached.
   void Add(PendingClaim claim);
 
   // Claims added and not yet settled.
   std::size_t open_claims() const { return open_claims_; }
 
  private:
-  // Forgets the least recently used idle keys beyond the setting.
+  // Removes the least recently used idle keys beyond the setting.
   void Forget();
 
   const std::shared_ptr<ClaimContext> context_;
--- a/src/claims/grouping_order.cc
+++ b/src/claims/grouping_order.cc
@@ -1,4 +1,4 @@
-// Rendezvous order over the live daemons.
+// Computes the rendezvous order of the live daemons.
 
 #include "src/claims/grouping_order.h"
 
--- a/src/claims/grouping_order.h
+++ b/src/claims/grouping_order.h
@@ -1,4 +1,4 @@
-// Which daemons group the claims of a key.
+// Selects the daemons that group the claims of a key.
 
 #ifndef MEDLARSPREAD_CLAIMS_GROUPING_ORDER_H_
 #define MEDLARSPREAD_CLAIMS_GROUPING_ORDER_H_
@@ -10,8 +10,9 @@
 
 namespace medlarspread::claims {
 
-// The live daemons in the order in which they are asked, best first. Daemons
-// whose views differ get different orders: that costs conflicts on the swap.
+// The live daemons in the order in which they are asked. Daemons with different
+// membership views get different orders, which costs conflicts on the swap but
+// is safe.
 std::vector<std::string> GroupingOrder(const blackboard::MembershipView& view,
                                        const std::string& key);
 
--- a/src/claims/pending_claim.h
+++ b/src/claims/pending_claim.h
@@ -1,4 +1,4 @@
-// One claim that waits to be recorded in its key.
+// A claim that is waiting to be recorded under its key.
 
 #ifndef MEDLARSPREAD_CLAIMS_PENDING_CLAIM_H_
 #define MEDLARSPREAD_CLAIMS_PENDING_CLAIM_H_
@@ -14,7 +14,7 @@
 
 namespace medlarspread::claims {
 
-// The error has no meaning when the outcome is kGranted.
+// The error is unspecified if the outcome is kGranted.
 using DidSettle = std::function<void(ClaimOutcome, const base::Error&)>;
 
 struct PendingClaim {
@@ -22,10 +22,10 @@
   std::string nonce;
   std::int64_t made_at_ms = 0;
   base::MonotonicTime deadline;
-  // Runs once, later, on the sequence of claims.
+  // Runs once, asynchronously, on the claims' sequence.
   DidSettle did_settle;
 
-  // Calls to the store that failed while this claim was waiting.
+  // The number of store calls that failed while this claim was waiting.
   int failures = 0;
   // The version that a swap of unknown outcome expected. Until the key has a
   // higher version, that swap may still record this claim.
--- a/src/claims/recent_claims.cc
+++ b/src/claims/recent_claims.cc
@@ -1,4 +1,4 @@
-// A bounded set that forgets its oldest member.
+// A bounded set that removes its oldest element.
 
 #include "src/claims/recent_claims.h"
 
--- a/src/claims/recent_claims.h
+++ b/src/claims/recent_claims.h
@@ -1,6 +1,6 @@
-// Identifiers that this daemon knows to be claimed, the latest ones. They are
-// answered without the store, and they stay known if the store is restored from
-// an older copy.
+// The latest identifiers that this daemon knows to be claimed. They are
+// answered without a store call, and stay known if the store is restored from
+// an older backup.
 
 #ifndef MEDLARSPREAD_CLAIMS_RECENT_CLAIMS_H_
 #define MEDLARSPREAD_CLAIMS_RECENT_CLAIMS_H_
@@ -16,7 +16,7 @@
  public:
   explicit RecentClaims(std::size_t capacity) : capacity_(capacity) {}
 
-  // Forgets the oldest identifier if there are too many.
+  // Adds an identifier, and removes the oldest one if the capacity is exceeded.
   void Add(const std::string& request_id);
   bool Has(const std::string& request_id) const {
     return known_.contains(request_id);
--- a/src/claims/recorded_claims.cc
+++ b/src/claims/recorded_claims.cc
@@ -1,4 +1,4 @@
-// Reading and writing the value of one key of claims.
+// Parses and writes the value of one key of claims.
 
 #include "src/claims/recorded_claims.h"
 
--- a/src/claims/recorded_claims.h
+++ b/src/claims/recorded_claims.h
@@ -1,5 +1,5 @@
-// The claims of one key as they stand in its value: one line per claim, the
-// identifier, a space and the nonce. Lines are only ever added.
+// The claims of one key in the format of its value: one line per claim with the
+// identifier, a space and the nonce. Lines are added but never removed.
 
 #ifndef MEDLARSPREAD_CLAIMS_RECORDED_CLAIMS_H_
 #define MEDLARSPREAD_CLAIMS_RECORDED_CLAIMS_H_
@@ -12,7 +12,7 @@
 
 namespace medlarspread::claims {
 
-// Whether the nonce can stand in a line: 1 to 64 letters, digits, '-' or '_'.
+// Whether the nonce is valid: 1 to 64 letters, digits, '-' or '_'.
 bool IsNonce(const std::string& nonce);
 
 // One line of a value.
--- a/src/claims/sweeper.cc
+++ b/src/claims/sweeper.cc
@@ -1,4 +1,4 @@
-// Erasing of expired claims.
+// Erases expired claims.
 
 #include "src/claims/sweeper.h"
 
@@ -17,7 +17,7 @@
 constexpr std::int64_t kSlicesPerRetention =
     kRetentionMilliseconds / kSliceMilliseconds;
 
-// The first slice that may still hold an identifier that some daemon accepts.
+// The first slice that may hold an identifier that some daemon still accepts.
 std::int64_t FirstSliceInUse(std::int64_t now_ms) {
   return SliceOf(std::max<std::int64_t>(
       0, now_ms - kRetentionMilliseconds - kEraseMarginMilliseconds));
@@ -85,18 +85,21 @@
                       const base::Result<std::vector<store::Entry>>& result) {
   is_sweeping_ = false;
   if (!result.is_ok()) {
-    // The slice stays due and is tried again at the next tick.
-    context_->log.DidFail(result.error(), "expired claims are kept for now");
+    // The slice stays due and is retried at the next tick.
+    context_->log.DidFail(result.error(),
+                          "failed to list expired claims; retrying later");
     return;
   }
   for (const store::Entry& entry : result.value()) {
-    store_->Erase(entry.key, entry.version,
-                  [context = context_](const base::Status& status) {
-                    if (!status.is_ok()) {
-                      context->log.DidFail(status.error(),
-                                           "left to the second sweep");
-                    }
-                  });
+    store_->Erase(
+        entry.key, entry.version,
+        [context = context_](const base::Status& status) {
+          if (!status.is_ok()) {
+            context->log.DidFail(
+                status.error(),
+                "failed to erase expired claims; left to the second sweep");
+          }
+        });
   }
   std::erase(due_, slice);
   SweepNext();
--- a/src/claims/sweeper.h
+++ b/src/claims/sweeper.h
@@ -1,8 +1,8 @@
-// Erases the keys of claims whose identifiers every daemon refuses as too old.
-// Each slice of time is swept by one daemon, picked by rendezvous hashing, and
-// once more, by another pick, after a second retention: that collects what a
-// lost daemon or a delayed write left behind. An erase that is missed costs
-// room in the store, never a second grant.
+// Erases the keys of claims whose identifiers are too old for every daemon.
+// Each slice of time is swept by one daemon, selected by rendezvous hashing,
+// and again by another selection after a second retention period, which erases
+// what a failed daemon or a delayed write has left behind. A missed erase costs
+// space in the store, but cannot lead to a second grant.
 
 #ifndef MEDLARSPREAD_CLAIMS_SWEEPER_H_
 #define MEDLARSPREAD_CLAIMS_SWEEPER_H_
@@ -32,7 +32,7 @@
 
  private:
   void Tick();
-  // Takes on the slices that have become old enough and fall to this daemon.
+  // Adds the slices that are old enough by now and assigned to this daemon.
   void CollectDue();
   bool FallsToThisDaemon(std::int64_t slice, const char* pass) const;
   void SweepNext();
@@ -45,7 +45,7 @@
   bool is_stopped_ = false;
   // The first slice that is not yet old enough.
   std::int64_t next_slice_ = 0;
-  // Slices to be swept by this daemon; bounded.
+  // Slices to be swept by this daemon; bounded in number.
   std::deque<std::int64_t> due_;
   bool is_sweeping_ = false;
 };
--- a/tests/claims/claim_property_test.cc
+++ b/tests/claims/claim_property_test.cc
@@ -1,6 +1,6 @@
-// Random interleavings of everything that may happen to claims: whatever the
-// order, one identifier is granted at most once and each question is answered
-// exactly once. A failing run prints its seed and the shrunk sequence.
+// Tests random interleavings of all events that concern claims: in any order,
+// an identifier is granted at most once and each claim call is answered exactly
+// once. A failing run prints its seed and the shrunk sequence.
 
 #include <cstdint>
 #include <memory>
@@ -18,7 +18,7 @@
 constexpr int kDaemons = 3;
 constexpr int kIdentifiers = 3;
 
-// One event. `kind` picks what happens, `first` and `second` pick to whom.
+// One event. `kind` selects the type, `first` and `second` the daemons.
 struct Event {
   int kind = 0;
   int first = 0;
@@ -125,8 +125,8 @@
   EXPECT_TRUE(holds);
 }
 
-// The property can fail: a daemon that sends on an unsettled claim, as if a
-// swap of unknown outcome had succeeded, sends a request that another sends.
+// Checks that the property can fail: if a daemon sends on an unsettled claim,
+// as if a swap of unknown outcome had succeeded, a request is sent twice.
 TEST(ClaimPropertyTest, SendingOnAnUnsettledClaimWouldDouble) {
   ClaimsWorld world(2);
   const std::string id = world.MakeId("aaaaaaaa");
--- a/tests/claims/claim_service_test.cc
+++ b/tests/claims/claim_service_test.cc
@@ -1,4 +1,4 @@
-// Claims under the failures that they are meant for, one at a time.
+// Tests claims under single failures.
 
 #include "src/claims/claim_service.h"
 
@@ -12,7 +12,7 @@
 
 constexpr base::Duration kLong = base::Milliseconds(5000);
 
-// Faults for the next calls in order; none after the last.
+// Returns the faults for the next calls in order; none after the last.
 std::function<StoreFault()> InOrder(std::vector<StoreFault> faults) {
   auto next = std::make_shared<std::size_t>(0);
   return [faults = std::move(faults), next] {
@@ -64,7 +64,7 @@
   }
   world.Advance(base::Milliseconds(200));
   EXPECT_EQ(world.Counts(0).granted, 400);
-  // The first of each key goes alone, the rest as one group.
+  // The first claim of each key is swapped alone, the rest as one group.
   EXPECT_EQ(world.Counts(0).swaps, 2 * kBucketsPerSlice);
 }
 
@@ -116,7 +116,7 @@
   const auto first = world.Ask(0, id, base::Milliseconds(300));
   world.Advance(kLong);
   EXPECT_EQ(world.result(first).outcome, ClaimOutcome::kUnsettled);
-  // It was recorded all the same, so that nobody else may send it either.
+  // It was recorded nevertheless, so no other daemon may send it either.
   world.store().next_fault = [] { return StoreFault::kNone; };
   const auto second = world.Ask(0, id);
   world.Advance(kLong);
@@ -144,7 +144,7 @@
   const auto question = world.Ask(asker, id);
   world.Advance(base::Milliseconds(500));
   EXPECT_EQ(world.result(question).outcome, ClaimOutcome::kGranted);
-  // The paused daemon wakes and finds the claim recorded: nothing changes.
+  // The paused daemon resumes and finds the claim recorded: nothing changes.
   world.Resume(grouping);
   world.Advance(kLong);
   EXPECT_EQ(world.grants(id), 1);
@@ -157,7 +157,7 @@
   const int asker = 1 - world.GroupingDaemon(id);
   const auto question = world.Ask(asker, id, base::Milliseconds(40));
   world.Advance(base::Milliseconds(2));
-  // The reply waits in the asker's queue while its deadline passes.
+  // The reply waits in the requesting daemon's queue while its deadline passes.
   world.Pause(asker);
   world.Advance(kLong);
   world.Resume(asker);
@@ -222,8 +222,9 @@
   EXPECT_EQ(world.store().entries().at(key).value, "another format");
 }
 
-// The next two: a store restored from a copy that lacks a claim. What a daemon
-// remembers still holds; see docs/design/07-at-most-once.md for what does not.
+// The next two tests restore the store from a backup that lacks a claim. Claims
+// that a daemon has in memory still apply; docs/design/07-at-most-once.md lists
+// the cases that are not covered.
 
 TEST(ClaimServiceTest, AGroupingDaemonPutsLostClaimsBack) {
   ClaimsWorld world(1);
@@ -232,7 +233,7 @@
   world.Advance(base::Milliseconds(50));
   ASSERT_EQ(world.result(first).outcome, ClaimOutcome::kGranted);
   world.store().Restore({});
-  // Four of them: one at least falls into the same key.
+  // With four identifiers, at least one has the same key.
   for (int count = 0; count < 40; ++count) {
     world.Ask(0, world.MakeId("abcdefgh" + std::to_string(count), 50));
   }
@@ -255,7 +256,8 @@
   }
   world.Advance(kLong);
   ASSERT_GE(world.Counts(0).lost_states, 1);
-  // May have been claimed by a daemon that has forgotten it: not run again.
+  // It may have been claimed by a daemon that has forgotten it: not executed
+  // again.
   const auto old = world.Ask(0, world.MakeId("bbbbbbbb", 60'000));
   world.Advance(kLong);
   EXPECT_EQ(world.result(old).outcome, ClaimOutcome::kRefused);
--- a/tests/claims/claims_world.cc
+++ b/tests/claims/claims_world.cc
@@ -1,4 +1,4 @@
-// The daemons, links and time of the claims tests.
+// Simulates the daemons, links and time of the claims tests.
 
 #include "tests/claims/claims_world.h"
 
@@ -16,7 +16,7 @@
 constexpr base::Duration kStep = base::Milliseconds(1);
 constexpr base::Duration kLinkDelay = base::Milliseconds(1);
 constexpr base::Duration kLateLinkDelay = base::Milliseconds(900);
-// Tasks that post tasks to another daemon are run within one step.
+// Tasks that post tasks to another daemon run within one step.
 constexpr int kRoundsPerStep = 4;
 
 }  // namespace
--- a/tests/claims/claims_world.h
+++ b/tests/claims/claims_world.h
@@ -1,6 +1,6 @@
-// Several daemons' ClaimServices over one fake store, with the links between
-// them, in manual time. Each daemon has its own queue of tasks, so that one can
-// be paused at any moment while time goes on for the others.
+// Runs the ClaimServices of several daemons over one fake store, with the links
+// between them, in manual time. Each daemon has its own task queue, so that it
+// can be paused at any moment while time advances for the others.
 
 #ifndef MEDLARSPREAD_TESTS_CLAIMS_CLAIMS_WORLD_H_
 #define MEDLARSPREAD_TESTS_CLAIMS_CLAIMS_WORLD_H_
@@ -30,36 +30,35 @@
 
   explicit ClaimsWorld(int daemons);
 
-  // An identifier made `age_ms` ago.
+  // An identifier created `age_ms` ago.
   std::string MakeId(const std::string& suffix, std::int64_t age_ms = 0) const;
 
-  // Asks daemon `index` for the claim. Returns the place of its result.
+  // Requests the claim at daemon `index`. Returns the index of the result.
   std::size_t Ask(int index,
                   const std::string& request_id,
                   base::Duration deadline = kDeadline);
   void Advance(base::Duration duration);
 
-  // Whether any result has arrived for the question.
+  // Whether a result has arrived.
   bool is_settled(std::size_t question) const {
     return questions_[question].answers > 0;
   }
   ClaimResult result(std::size_t question) const {
     return questions_[question].result;
   }
-  // Invariant to be tested: at most one per identifier.
+  // The number of grants; the tests require at most one per identifier.
   int grants(const std::string& request_id) const;
-  // The largest number of grants of one identifier, and of answers to one
-  // question.
+  // The maximum number of grants of one identifier, or of answers to one call.
   int most_grants() const;
   int most_answers() const;
 
-  // A paused daemon runs nothing; what is sent to it waits.
+  // A paused daemon runs no tasks; messages to it are queued.
   void Pause(int index) { daemons_[Index(index)].is_paused = true; }
   void Resume(int index) { daemons_[Index(index)].is_paused = false; }
-  // Ends the daemon at once and starts a new incarnation with empty memory.
+  // Stops the daemon at once and starts a new incarnation with empty memory.
   void Restart(int index);
   void Stop(int index, std::function<void()> did_stop);
-  // The daemons that daemon `index` believes to be live.
+  // Sets the daemons that daemon `index` considers live.
   void SetView(int index, const std::vector<int>& live);
   // The daemon that groups the claims of this identifier in a full view.
   int GroupingDaemon(const std::string& request_id) const;
@@ -101,7 +100,7 @@
   std::shared_ptr<FakeStore> store_;
   base::Random random_{7};
   std::vector<Daemon> daemons_;
-  // Ended incarnations: kept, never run again.
+  // Stopped incarnations; kept, but never run again.
   std::vector<Daemon> ended_;
   std::vector<Question> questions_;
 };
--- a/tests/claims/fake_store.cc
+++ b/tests/claims/fake_store.cc
@@ -1,4 +1,4 @@
-// The faulty key-value service in memory.
+// An in-memory key-value store with injected faults.
 
 #include "tests/claims/fake_store.h"
 
--- a/tests/claims/fake_store.h
+++ b/tests/claims/fake_store.h
@@ -1,5 +1,5 @@
-// A key-value service in memory whose replies and effects the test can lose or
-// delay, each on its own, and that can be restored from an older copy.
+// An in-memory key-value store. Tests can lose or delay the reply and the
+// effect of each call separately, and restore the store from an older backup.
 
 #ifndef MEDLARSPREAD_TESTS_CLAIMS_FAKE_STORE_H_
 #define MEDLARSPREAD_TESTS_CLAIMS_FAKE_STORE_H_
@@ -17,16 +17,16 @@
 
 namespace medlarspread::claims {
 
-// What befalls one call.
+// The fault injected into one call.
 enum class StoreFault {
   kNone,
-  // A write takes effect, its reply is lost.
+  // A write takes effect, but its reply is lost.
   kLoseReply,
-  // The call is lost on its way.
+  // The call is lost before it reaches the store.
   kLoseRequest,
-  // A write takes effect only long after the client has given up on it.
+  // A write takes effect only long after the client has timed out.
   kApplyLate,
-  // The service answers that it did nothing.
+  // The store answers that the call had no effect.
   kUnavailable,
 };
 
@@ -44,7 +44,8 @@
   const std::map<std::string, store::Entry>& entries() const {
     return entries_;
   }
-  // NOTE: Versions go on growing after a restore, as the interface promises.
+  // NOTE: Versions keep increasing after a restore, as the interface
+  // guarantees.
   void Restore(std::map<std::string, store::Entry> entries) {
     entries_ = std::move(entries);
   }
--- a/tests/claims/recorded_claims_test.cc
+++ b/tests/claims/recorded_claims_test.cc
@@ -1,4 +1,4 @@
-// The value of a key, and how identifiers map to keys.
+// Tests the format of a key's value and the mapping of identifiers to keys.
 
 #include "src/claims/recorded_claims.h"
 
