--- a/src/claims/bucket.cc
+++ b/src/claims/bucket.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr int kMostDoublings = 5;
+constexpr int kMaxDoublings = 5;
 
 // Identifiers from up to this many slices before the current one count as on
 // time, which covers the time that a request takes to arrive.
-constexpr std::int64_t kSlicesOnTime = 2;
+constexpr std::int64_t kOnTimeSlices = 2;
 
 }  // namespace
 
@@ -30,14 +30,14 @@
     return;
   }
   queue_.push_back(std::move(claim));
-  Pump();
+  StartNextStep();
 }
 
-void Bucket::Pump() {
+void Bucket::StartNextStep() {
   if (phase_ != Phase::kIdle) {
     return;
   }
-  DropHopeless();
+  DropUnrecordable();
   if (queue_.empty() && !must_rewrite_) {
     return;
   }
@@ -58,14 +58,14 @@
 bool Bucket::is_late() const {
   const std::int64_t slice_now = SliceOf(context_->clock.WallMilliseconds());
   return !queue_.empty() &&
-         SliceOf(queue_.front().made_at_ms) + kSlicesOnTime < slice_now;
+         SliceOf(queue_.front().made_at_ms) + kOnTimeSlices < slice_now;
 }
 
 void Bucket::Pause(base::Duration duration) {
   phase_ = Phase::kPausing;
   context_->runner.After(duration, [self = shared_from_this()] {
     self->phase_ = Phase::kIdle;
-    self->Pump();
+    self->StartNextStep();
   });
 }
 
@@ -91,7 +91,7 @@
   for (PendingClaim& claim : queue_) {
     const std::size_t size = claims_.text().size() + added.text().size() +
                              ClaimLine(claim.request_id, claim.nonce).size();
-    if (size > kLargestValueBytes) {
+    if (size > kMaxValueBytes) {
       GiveUp(claim, MakeError(base::ErrorCode::kOverloaded, "the key is full"));
       continue;
     }
@@ -118,7 +118,7 @@
   }
   ReturnGroupToQueue();
   SettleRecorded();
-  Pump();
+  StartNextStep();
 }
 
 void Bucket::DidFailSwap(const base::Error& error) {
@@ -127,7 +127,7 @@
       ReturnGroupToQueue();
       CountFailure(error);
       BackOff();
-      Pump();
+      StartNextStep();
       return;
     case StoreFailure::kConflict:
       ++context_->counts.conflicts;
@@ -160,7 +160,7 @@
     // read.
     CountFailure(result.error());
     BackOff();
-    Pump();
+    StartNextStep();
     return;
   }
   failures_in_a_row_ = 0;
@@ -176,11 +176,11 @@
     }
     return;
   }
-  Adopt(stored.value(), entry.version);
-  Pump();
+  MergeStored(stored.value(), entry.version);
+  StartNextStep();
 }
 
-void Bucket::Adopt(const RecordedClaims& stored, std::int64_t version) {
+void Bucket::MergeStored(const RecordedClaims& stored, std::int64_t version) {
   CheckForLostState(stored, version);
   const RecordedClaims earlier = std::exchange(claims_, stored);
   for (const auto& [request_id, nonce] : earlier.nonces()) {
@@ -206,7 +206,7 @@
     }
     is_lost = true;
     if (found != nullptr) {
-      ++context_->counts.clashes;
+      ++context_->counts.duplicate_claims;
       LogLoss("claimed twice, because the store lost the first claim",
               request_id);
     }
@@ -244,7 +244,7 @@
 }
 
 void Bucket::BackOff() {
-  const int doublings = std::min(failures_in_a_row_++, kMostDoublings);
+  const int doublings = std::min(failures_in_a_row_++, kMaxDoublings);
   const base::Duration longest =
       context_->settings.store_backoff * (std::int64_t{1} << doublings);
   // Jitter prevents the daemons from calling the store again all at once.
@@ -254,7 +254,7 @@
   next_swap_at_ = context_->clock.Now() + longest - base::Duration(jitter);
 }
 
-void Bucket::DropHopeless() {
+void Bucket::DropUnrecordable() {
   std::erase_if(queue_, [this](const PendingClaim& claim) {
     const std::optional<base::Error> error = ReasonToDrop(claim);
     if (error) {
@@ -269,7 +269,7 @@
   if (claim.deadline <= context_->clock.Now()) {
     return MakeError(base::ErrorCode::kTimeout, "not recorded in time");
   }
-  if (claim.made_at_ms < context_->floor_ms) {
+  if (claim.made_at_ms < context_->min_claimable_ms) {
     return MakeError(base::ErrorCode::kUnavailable,
                      "the store lost claims of that time");
   }
--- a/src/claims/bucket.h
+++ b/src/claims/bucket.h
@@ -49,7 +49,7 @@
   enum class Phase { kIdle, kPausing, kSwapping, kReading };
 
   // Starts the next step unless one is in progress.
-  void Pump();
+  void StartNextStep();
   void Pause(base::Duration duration);
   // Whether the waiting claims belong to a slice that ended some time ago.
   bool is_late() const;
@@ -62,7 +62,7 @@
   void DidFailSwap(const base::Error& error);
   void Read();
   void DidRead(const base::Result<std::optional<store::Entry>>& result);
-  void Adopt(const RecordedClaims& stored, std::int64_t version);
+  void MergeStored(const RecordedClaims& stored, std::int64_t version);
   // Checks whether `stored` lacks claims that were confirmed earlier; if so,
   // logs it and stops granting identifiers of that time.
   void CheckForLostState(const RecordedClaims& stored, std::int64_t version);
@@ -72,7 +72,7 @@
   // not sent without a claim, so waiting longer would only delay the caller.
   void CountFailure(const base::Error& error);
   void BackOff();
-  void DropHopeless();
+  void DropUnrecordable();
   // The reason why the claim can no longer be recorded, if any.
   std::optional<base::Error> ReasonToDrop(const PendingClaim& claim) const;
   void SettleRecorded();
--- a/src/claims/claim_context.h
+++ b/src/claims/claim_context.h
@@ -27,15 +27,16 @@
 
   // Identifiers created before this time are not claimed by this daemon any
   // more. Invariant: never decreases.
-  std::int64_t floor_ms = 0;
+  std::int64_t min_claimable_ms = 0;
 
   // Called when the store has lost confirmed writes, as after a restore from an
   // older backup. Claims of identifiers created until now may be among the lost
   // ones, so they must not be granted again.
   void DidFindLostState() {
     ++counts.lost_states;
-    floor_ms = std::max(floor_ms, clock.WallMilliseconds() +
-                                      kAllowedClockDifferenceMilliseconds);
+    min_claimable_ms =
+        std::max(min_claimable_ms, clock.WallMilliseconds() +
+                                       kAllowedClockDifferenceMilliseconds);
   }
 };
 
--- a/src/claims/claim_counts.h
+++ b/src/claims/claim_counts.h
@@ -32,7 +32,7 @@
   std::int64_t lost_states = 0;
   // Identifiers that were recorded with two nonces because the store lost the
   // first.
-  std::int64_t clashes = 0;
+  std::int64_t duplicate_claims = 0;
 };
 
 }  // namespace medlarspread::claims
--- a/src/claims/claim_protocol.h
+++ b/src/claims/claim_protocol.h
@@ -30,18 +30,17 @@
 constexpr std::int64_t kAllowedClockDifferenceMilliseconds = 10'000;
 
 // The maximum wait for a claim, whatever the caller's deadline.
-constexpr std::int64_t kLongestWaitMilliseconds = 30'000;
+constexpr std::int64_t kMaxWaitMilliseconds = 30'000;
 
 // A key is erased this long after its youngest identifier expired. A grant can
 // follow that moment by at most one clock error plus the maximum wait, and the
 // clock of the erasing daemon may be ahead by another clock error.
 constexpr std::int64_t kEraseMarginMilliseconds = 60'000;
 static_assert(kEraseMarginMilliseconds >=
-              2 * kAllowedClockDifferenceMilliseconds +
-                  kLongestWaitMilliseconds);
+              2 * kAllowedClockDifferenceMilliseconds + kMaxWaitMilliseconds);
 
 // The store's limit is 1 MB; the rest is reserved for its framing.
-constexpr std::size_t kLargestValueBytes = 900'000;
+constexpr std::size_t kMaxValueBytes = 900'000;
 
 // Returns the creation time in an identifier of the form `<milliseconds>-<8 to
 // 64 letters, digits>`; nullopt if the format is wrong.
--- a/src/claims/claim_service.cc
+++ b/src/claims/claim_service.cc
@@ -23,13 +23,12 @@
 namespace {
 
 constexpr std::uint64_t kClaimIdBound = std::uint64_t{1} << 62;
-constexpr base::Duration kLongestWait =
-    base::Milliseconds(kLongestWaitMilliseconds);
+constexpr base::Duration kMaxWait = base::Milliseconds(kMaxWaitMilliseconds);
 constexpr base::Duration kStopCheckInterval = base::Milliseconds(10);
 
 using Callback = std::function<void(ClaimResult)>;
 
-struct Question {
+struct ClaimCall {
   std::string request_id;
   std::string nonce;
   base::MonotonicTime deadline;
@@ -59,7 +58,7 @@
 }
 
 base::Duration BoundWait(base::Duration wait) {
-  return std::clamp(wait, base::Duration::zero(), kLongestWait);
+  return std::clamp(wait, base::Duration::zero(), kMaxWait);
 }
 
 }  // namespace
@@ -92,7 +91,7 @@
 
   void Start() { sweeper_->Start(); }
   void StopSweeping() { sweeper_->Stop(); }
-  void Ask(Question question);
+  void Ask(ClaimCall call);
   void DidReceiveRequest(const peer::Sender& sender,
                          const peer::wire::ClaimRequest& request);
   void DidReceiveReply(const peer::Sender& sender,
@@ -103,12 +102,12 @@
 
  private:
   // Returns the result if it can be given without a claim.
-  std::optional<ClaimResult> AnswerAtOnce(
-      const Question& question,
+  std::optional<ClaimResult> AnswerWithoutClaim(
+      const ClaimCall& call,
       const std::optional<std::int64_t>& made_at_ms) const;
-  void StartSession(const Question& question, std::int64_t made_at_ms);
+  void StartSession(const ClaimCall& call, std::int64_t made_at_ms);
   void DidFinish(std::int64_t claim_id,
-                 const Question& question,
+                 const ClaimCall& call,
                  const ClaimResult& result);
   void Count(ClaimOutcome outcome);
   void Reply(const std::string& peer,
@@ -128,25 +127,25 @@
   bool is_stopping_ = false;
 };
 
-void ClaimService::Impl::Ask(Question question) {
-  const auto made_at_ms = MadeAtMilliseconds(question.request_id);
-  const auto answer = AnswerAtOnce(question, made_at_ms);
+void ClaimService::Impl::Ask(ClaimCall call) {
+  const auto made_at_ms = MadeAtMilliseconds(call.request_id);
+  const auto answer = AnswerWithoutClaim(call, made_at_ms);
   if (answer) {
     Count(answer->outcome);
-    question.callback(*answer);
+    call.callback(*answer);
     return;
   }
-  StartSession(question, *made_at_ms);
+  StartSession(call, *made_at_ms);
 }
 
-std::optional<ClaimResult> ClaimService::Impl::AnswerAtOnce(
-    const Question& question,
+std::optional<ClaimResult> ClaimService::Impl::AnswerWithoutClaim(
+    const ClaimCall& call,
     const std::optional<std::int64_t>& made_at_ms) const {
-  if (!made_at_ms || !IsNonce(question.nonce)) {
+  if (!made_at_ms || !IsNonce(call.nonce)) {
     return MakeResult(ClaimOutcome::kRefused, base::ErrorCode::kInvalidArgument,
                       "not a request identifier or nonce");
   }
-  if (recent_.Has(question.request_id)) {
+  if (recent_.Has(call.request_id)) {
     return MakeResult(ClaimOutcome::kTaken, base::ErrorCode::kConflict,
                       "the request was claimed before");
   }
@@ -161,7 +160,7 @@
   if (is_stopping_) {
     return refusal;
   }
-  if (*made_at_ms < context_->floor_ms) {
+  if (*made_at_ms < context_->min_claimable_ms) {
     refusal.error =
         base::MakeError(base::ErrorCode::kUnavailable, base::Step::kClaim, "",
                         "the store lost claims of that time");
@@ -176,7 +175,7 @@
   return std::nullopt;
 }
 
-void ClaimService::Impl::StartSession(const Question& question,
+void ClaimService::Impl::StartSession(const ClaimCall& call,
                                       std::int64_t made_at_ms) {
   const auto view = blackboard_.membership.Read();
   ClaimTask task;
@@ -184,35 +183,34 @@
   // never taken for a reply to this claim.
   task.claim_id =
       static_cast<std::int64_t>(context_->random.Below(kClaimIdBound));
-  task.request_id = question.request_id;
-  task.nonce = question.nonce;
+  task.request_id = call.request_id;
+  task.nonce = call.nonce;
   task.made_at_ms = made_at_ms;
-  task.deadline = question.deadline;
+  task.deadline = call.deadline;
   task.self = view->self;
   task.candidates =
-      GroupingOrder(*view, BucketKey(question.request_id, made_at_ms));
+      GroupingOrder(*view, BucketKey(call.request_id, made_at_ms));
   const std::int64_t claim_id = task.claim_id;
   auto session = std::make_shared<ClaimSession>(
       context_, committer_, peers_, std::move(task),
-      [self = shared_from_this(), claim_id,
-       question](const ClaimResult& result) {
-        self->DidFinish(claim_id, question, result);
+      [self = shared_from_this(), claim_id, call](const ClaimResult& result) {
+        self->DidFinish(claim_id, call, result);
       });
   sessions_.emplace(claim_id, session);
   session->Start();
 }
 
 void ClaimService::Impl::DidFinish(std::int64_t claim_id,
-                                   const Question& question,
+                                   const ClaimCall& call,
                                    const ClaimResult& result) {
   sessions_.erase(claim_id);
   const bool is_recorded = result.outcome == ClaimOutcome::kGranted ||
                            result.outcome == ClaimOutcome::kTaken;
   if (is_recorded) {
-    recent_.Add(question.request_id);
+    recent_.Add(call.request_id);
   }
   Count(result.outcome);
-  question.callback(result);
+  call.callback(result);
 }
 
 void ClaimService::Impl::Count(ClaimOutcome outcome) {
@@ -350,14 +348,14 @@
 ClaimPort ClaimService::port() {
   return [impl = impl_](std::string request_id, std::string nonce,
                         base::Duration deadline_left, Callback callback) {
-    Question question;
-    question.request_id = std::move(request_id);
-    question.nonce = std::move(nonce);
+    ClaimCall call;
+    call.request_id = std::move(request_id);
+    call.nonce = std::move(nonce);
     // The clock is read before the identifier's age is checked, so that a pause
     // between the two shortens the wait.
-    question.deadline = impl->clock().Now() + BoundWait(deadline_left);
-    question.callback = std::move(callback);
-    impl->Post(&Impl::Ask, std::move(question));
+    call.deadline = impl->clock().Now() + BoundWait(deadline_left);
+    call.callback = std::move(callback);
+    impl->Post(&Impl::Ask, std::move(call));
   };
 }
 
--- a/src/claims/claim_session.cc
+++ b/src/claims/claim_session.cc
@@ -39,12 +39,12 @@
   deadline_timer_ = context_->runner.After(
       task_.deadline - context_->clock.Now(),
       [self = shared_from_this()] { self->DidPassDeadline(); });
-  TryNext();
+  AskNextDaemon();
 }
 
-void ClaimSession::TryNext() {
+void ClaimSession::AskNextDaemon() {
   forward_timer_.Cancel();
-  asked_.clear();
+  asked_peer_.clear();
   while (next_candidate_ < task_.candidates.size() &&
          forwards_ < context_->settings.forwards) {
     const std::string& candidate = task_.candidates[next_candidate_++];
@@ -55,7 +55,7 @@
       return;
     }
   }
-  CommitHere();
+  CommitLocally();
 }
 
 bool ClaimSession::Ask(const std::string& peer) {
@@ -69,7 +69,7 @@
     return false;
   }
   ++forwards_;
-  asked_ = peer;
+  asked_peer_ = peer;
   // Half of the remaining time is reserved for the next daemon.
   forward_timer_ = context_->runner.After(
       std::min(context_->settings.forward_timeout, left / 2),
@@ -77,8 +77,8 @@
   return true;
 }
 
-void ClaimSession::CommitHere() {
-  if (std::exchange(is_committing_here_, true)) {
+void ClaimSession::CommitLocally() {
+  if (std::exchange(is_committing_locally_, true)) {
     return;
   }
   PendingClaim claim;
@@ -88,7 +88,7 @@
   claim.deadline = task_.deadline;
   claim.did_settle = [self = shared_from_this()](ClaimOutcome outcome,
                                                  const base::Error& error) {
-    self->DidLearn(outcome, error);
+    self->DidLearnOutcome(outcome, error);
   };
   committer_->Add(std::move(claim));
 }
@@ -101,24 +101,25 @@
   const auto outcome = static_cast<ClaimOutcome>(reply.outcome);
   const bool is_certain =
       outcome == ClaimOutcome::kGranted || outcome == ClaimOutcome::kTaken;
-  if (!is_certain && peer != asked_) {
+  if (!is_certain && peer != asked_peer_) {
     // A late reply of an earlier peer must not end the wait for the next one.
     return;
   }
-  DidLearn(outcome,
-           MakeError(base::ErrorCode::kUnavailable, peer, reply.detail));
+  DidLearnOutcome(outcome,
+                  MakeError(base::ErrorCode::kUnavailable, peer, reply.detail));
 }
 
 void ClaimSession::DidLosePeer(const std::string& peer) {
-  if (!did_finish_ || peer != asked_) {
+  if (!did_finish_ || peer != asked_peer_) {
     return;
   }
   // The request or its reply may be lost, so the nonce may be recorded.
   may_be_recorded_ = true;
-  TryNext();
+  AskNextDaemon();
 }
 
-void ClaimSession::DidLearn(ClaimOutcome outcome, const base::Error& error) {
+void ClaimSession::DidLearnOutcome(ClaimOutcome outcome,
+                                   const base::Error& error) {
   if (!did_finish_) {
     return;
   }
@@ -139,10 +140,10 @@
       return;
     case ClaimOutcome::kUnsettled:
       may_be_recorded_ = true;
-      if (is_committing_here_) {
+      if (is_committing_locally_) {
         GiveUp(error);
       } else {
-        TryNext();
+        AskNextDaemon();
       }
       return;
   }
@@ -156,7 +157,7 @@
   }
   // NOTE: the committer may have a swap with this claim in progress.
   may_be_recorded_ = true;
-  GiveUp(MakeError(base::ErrorCode::kTimeout, asked_,
+  GiveUp(MakeError(base::ErrorCode::kTimeout, asked_peer_,
                    "the claim was not settled in time"));
 }
 
@@ -176,7 +177,7 @@
   if (outcome == ClaimOutcome::kGranted &&
       task_.deadline <= context_->clock.Now()) {
     result.outcome = ClaimOutcome::kUnsettled;
-    result.error = MakeError(base::ErrorCode::kTimeout, asked_,
+    result.error = MakeError(base::ErrorCode::kTimeout, asked_peer_,
                              "the claim was settled too late");
   }
   const bool is_worth_a_retry = result.outcome == ClaimOutcome::kRefused ||
--- a/src/claims/claim_session.h
+++ b/src/claims/claim_session.h
@@ -53,11 +53,11 @@
   void DidLosePeer(const std::string& peer);
 
  private:
-  void TryNext();
+  void AskNextDaemon();
   bool Ask(const std::string& peer);
-  void CommitHere();
+  void CommitLocally();
   // Handles the outcome reported by a peer or by this daemon's own committer.
-  void DidLearn(ClaimOutcome outcome, const base::Error& error);
+  void DidLearnOutcome(ClaimOutcome outcome, const base::Error& error);
   void DidPassDeadline();
   // Ends without a grant when no other claim is known either.
   void GiveUp(const base::Error& error);
@@ -73,8 +73,8 @@
   std::size_t next_candidate_ = 0;
   int forwards_ = 0;
   // The peer that is being asked; empty if none is.
-  std::string asked_;
-  bool is_committing_here_ = false;
+  std::string asked_peer_;
+  bool is_committing_locally_ = false;
   // Whether an earlier peer may have recorded the nonce without replying.
   bool may_be_recorded_ = false;
   base::Timer forward_timer_;
--- a/src/claims/group_committer.cc
+++ b/src/claims/group_committer.cc
@@ -31,10 +31,10 @@
     bucket = std::make_shared<Bucket>(context_, store_, key);
   }
   bucket->Add(std::move(claim));
-  Forget();
+  EvictIdleBuckets();
 }
 
-void GroupCommitter::Forget() {
+void GroupCommitter::EvictIdleBuckets() {
   while (buckets_.size() > context_->settings.cached_buckets) {
     auto oldest = buckets_.end();
     for (auto row = buckets_.begin(); row != buckets_.end(); ++row) {
--- a/src/claims/group_committer.h
+++ b/src/claims/group_committer.h
@@ -29,7 +29,7 @@
 
  private:
   // Removes the least recently used idle keys beyond the setting.
-  void Forget();
+  void EvictIdleBuckets();
 
   const std::shared_ptr<ClaimContext> context_;
   const std::shared_ptr<ClaimStore> store_;
--- a/src/claims/recorded_claims.cc
+++ b/src/claims/recorded_claims.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kLongestNonce = 64;
+constexpr std::size_t kMaxNonceLength = 64;
 
 bool IsNonceCharacter(unsigned char character) {
   return std::isalnum(character) != 0 || character == '-' || character == '_';
@@ -19,13 +19,13 @@
 
 base::Error Malformed(const std::string& line) {
   return base::MakeError(base::ErrorCode::kMalformed, base::Step::kClaim, "",
-                         "not a claim: " + line.substr(0, kLongestNonce));
+                         "not a claim: " + line.substr(0, kMaxNonceLength));
 }
 
 }  // namespace
 
 bool IsNonce(const std::string& nonce) {
-  return !nonce.empty() && nonce.size() <= kLongestNonce &&
+  return !nonce.empty() && nonce.size() <= kMaxNonceLength &&
          std::all_of(nonce.begin(), nonce.end(), IsNonceCharacter);
 }
 
--- a/src/claims/sweeper.cc
+++ b/src/claims/sweeper.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kMostDueSlices = 1'000;
+constexpr std::size_t kMaxDueSlices = 1'000;
 constexpr std::int64_t kSlicesPerRetention =
     kRetentionMilliseconds / kSliceMilliseconds;
 
@@ -50,20 +50,21 @@
 void Sweeper::CollectDue() {
   const std::int64_t end = FirstSliceInUse(context_->clock.WallMilliseconds());
   for (; next_slice_ < end; ++next_slice_) {
-    if (FallsToThisDaemon(next_slice_, "first")) {
+    if (IsAssignedToThisDaemon(next_slice_, "first")) {
       due_.push_back(next_slice_);
     }
     const std::int64_t older = next_slice_ - kSlicesPerRetention;
-    if (FallsToThisDaemon(older, "second")) {
+    if (IsAssignedToThisDaemon(older, "second")) {
       due_.push_back(older);
     }
   }
-  while (due_.size() > kMostDueSlices) {
+  while (due_.size() > kMaxDueSlices) {
     due_.pop_front();
   }
 }
 
-bool Sweeper::FallsToThisDaemon(std::int64_t slice, const char* pass) const {
+bool Sweeper::IsAssignedToThisDaemon(std::int64_t slice,
+                                     const char* pass) const {
   const auto view = blackboard_.membership.Read();
   const auto order = GroupingOrder(*view, SlicePrefix(slice) + pass);
   return !order.empty() && order.front() == view->self;
--- a/src/claims/sweeper.h
+++ b/src/claims/sweeper.h
@@ -34,7 +34,7 @@
   void Tick();
   // Adds the slices that are old enough by now and assigned to this daemon.
   void CollectDue();
-  bool FallsToThisDaemon(std::int64_t slice, const char* pass) const;
+  bool IsAssignedToThisDaemon(std::int64_t slice, const char* pass) const;
   void SweepNext();
   void DidList(std::int64_t slice,
                const base::Result<std::vector<store::Entry>>& result);
--- a/tests/claims/claim_property_test.cc
+++ b/tests/claims/claim_property_test.cc
@@ -112,15 +112,15 @@
     const auto events = *rc::gen::container<std::vector<Event>>(AnyEvent());
     for (const Event& event : events) {
       Happen(world, ids, event);
-      RC_ASSERT(world.most_grants() <= 1);
+      RC_ASSERT(world.max_grants() <= 1);
     }
     for (int daemon = 0; daemon < kDaemons; ++daemon) {
       world.Resume(daemon);
     }
     world.Advance(base::Milliseconds(10'000));
-    RC_ASSERT(world.most_grants() <= 1);
-    RC_ASSERT(world.most_answers() <= 1);
-    RC_TAG(world.most_grants());
+    RC_ASSERT(world.max_grants() <= 1);
+    RC_ASSERT(world.max_answers() <= 1);
+    RC_TAG(world.max_grants());
   });
   EXPECT_TRUE(holds);
 }
--- a/tests/claims/claim_service_test.cc
+++ b/tests/claims/claim_service_test.cc
@@ -31,7 +31,7 @@
   EXPECT_EQ(world.result(first).outcome, ClaimOutcome::kGranted);
   EXPECT_EQ(world.result(second).outcome, ClaimOutcome::kTaken);
   EXPECT_EQ(world.result(third).outcome, ClaimOutcome::kTaken);
-  EXPECT_EQ(world.most_answers(), 1);
+  EXPECT_EQ(world.max_answers(), 1);
 }
 
 TEST(ClaimServiceTest, GrantsOneOfTwoAskersAtOnce) {
@@ -148,7 +148,7 @@
   world.Resume(grouping);
   world.Advance(kLong);
   EXPECT_EQ(world.grants(id), 1);
-  EXPECT_EQ(world.most_answers(), 1);
+  EXPECT_EQ(world.max_answers(), 1);
 }
 
 TEST(ClaimServiceTest, AGrantThatArrivesAfterTheDeadlineIsDropped) {
@@ -163,7 +163,7 @@
   world.Resume(asker);
   world.Advance(kLong);
   EXPECT_EQ(world.result(question).outcome, ClaimOutcome::kUnsettled);
-  EXPECT_EQ(world.most_answers(), 1);
+  EXPECT_EQ(world.max_answers(), 1);
 }
 
 TEST(ClaimServiceTest, DuplicatedMessagesMakeNoSecondGrant) {
@@ -175,7 +175,7 @@
   }
   world.Advance(kLong);
   EXPECT_EQ(world.grants(id), 1);
-  EXPECT_EQ(world.most_answers(), 1);
+  EXPECT_EQ(world.max_answers(), 1);
 }
 
 TEST(ClaimServiceTest, AStoppingDaemonFinishesAndSendsAskersElsewhere) {
--- a/tests/claims/claims_world.cc
+++ b/tests/claims/claims_world.cc
@@ -79,7 +79,7 @@
       }));
 }
 
-int ClaimsWorld::most_grants() const {
+int ClaimsWorld::max_grants() const {
   int most = 0;
   for (const Question& question : questions_) {
     most = std::max(most, grants(question.request_id));
@@ -87,7 +87,7 @@
   return most;
 }
 
-int ClaimsWorld::most_answers() const {
+int ClaimsWorld::max_answers() const {
   int most = 0;
   for (const Question& question : questions_) {
     most = std::max(most, question.answers);
--- a/tests/claims/claims_world.h
+++ b/tests/claims/claims_world.h
@@ -49,8 +49,8 @@
   // The number of grants; the tests require at most one per identifier.
   int grants(const std::string& request_id) const;
   // The maximum number of grants of one identifier, or of answers to one call.
-  int most_grants() const;
-  int most_answers() const;
+  int max_grants() const;
+  int max_answers() const;
 
   // A paused daemon runs no tasks; messages to it are queued.
   void Pause(int index) { daemons_[Index(index)].is_paused = true; }
