--- a/src/claims/bucket.cc
+++ b/src/claims/bucket.cc
@@ -1,4 +1,4 @@
-// The group commit of one key.
+// Group commit of the claims of one key.
 
 #include "src/claims/bucket.h"
 
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr int kMostDoublings = 5;
+constexpr int kMaxDoublings = 5;
 
-// Identifiers of that many slices before the present one count as on time:
-// that is how long a request takes to get here.
-constexpr std::int64_t kSlicesOnTime = 2;
+// Identifiers from up to this many slices before the current one count as on
+// time, which covers the time that a request takes to arrive.
+constexpr std::int64_t kOnTimeSlices = 2;
 
 }  // namespace
 
@@ -30,14 +30,14 @@
     return;
   }
   queue_.push_back(std::move(claim));
-  Pump();
+  StartNextStep();
 }
 
-void Bucket::Pump() {
+void Bucket::StartNextStep() {
   if (phase_ != Phase::kIdle) {
     return;
   }
-  DropHopeless();
+  DropUnrecordable();
   if (queue_.empty() && !must_rewrite_) {
     return;
   }
@@ -47,7 +47,8 @@
     return;
   }
   if (!is_known_ && is_late()) {
-    // Somebody else has probably written it: a read costs less than a conflict.
+    // Another daemon has probably written the key: a read costs less than a
+    // conflict.
     Read();
     return;
   }
@@ -57,14 +58,14 @@
 bool Bucket::is_late() const {
   const std::int64_t slice_now = SliceOf(context_->clock.WallMilliseconds());
   return !queue_.empty() &&
-         SliceOf(queue_.front().made_at_ms) + kSlicesOnTime < slice_now;
+         SliceOf(queue_.front().made_at_ms) + kOnTimeSlices < slice_now;
 }
 
 void Bucket::Pause(base::Duration duration) {
   phase_ = Phase::kPausing;
   context_->runner.After(duration, [self = shared_from_this()] {
     self->phase_ = Phase::kIdle;
-    self->Pump();
+    self->StartNextStep();
   });
 }
 
@@ -90,11 +91,11 @@
   for (PendingClaim& claim : queue_) {
     const std::size_t size = claims_.text().size() + added.text().size() +
                              ClaimLine(claim.request_id, claim.nonce).size();
-    if (size > kLargestValueBytes) {
+    if (size > kMaxValueBytes) {
       GiveUp(claim, MakeError(base::ErrorCode::kOverloaded, "the key is full"));
       continue;
     }
-    // Of two claims of one identifier the first is recorded.
+    // If two claims have the same identifier, the first is recorded.
     added.Add(claim.request_id, claim.nonce);
     group_.push_back(std::move(claim));
   }
@@ -117,7 +118,7 @@
   }
   ReturnGroupToQueue();
   SettleRecorded();
-  Pump();
+  StartNextStep();
 }
 
 void Bucket::DidFailSwap(const base::Error& error) {
@@ -126,7 +127,7 @@
       ReturnGroupToQueue();
       CountFailure(error);
       BackOff();
-      Pump();
+      StartNextStep();
       return;
     case StoreFailure::kConflict:
       ++context_->counts.conflicts;
@@ -155,10 +156,11 @@
 void Bucket::DidRead(const base::Result<std::optional<store::Entry>>& result) {
   phase_ = Phase::kIdle;
   if (!result.is_ok()) {
-    // NOTE: The next swap serves as well to find out where the key stands.
+    // NOTE: The next swap determines the state of the key as well as another
+    // read.
     CountFailure(result.error());
     BackOff();
-    Pump();
+    StartNextStep();
     return;
   }
   failures_in_a_row_ = 0;
@@ -167,18 +169,18 @@
   const base::Result<RecordedClaims> stored =
       RecordedClaims::Parse(entry.value);
   if (!stored.is_ok()) {
-    // It is never overwritten: it may hold claims that are not understood.
+    // The value is never overwritten: it may hold claims in another format.
     context_->log.DidFail(stored.error(), "no claim is made under " + key_);
     for (const PendingClaim& claim : std::exchange(queue_, {})) {
       GiveUp(claim, stored.error());
     }
     return;
   }
-  Adopt(stored.value(), entry.version);
-  Pump();
+  MergeStored(stored.value(), entry.version);
+  StartNextStep();
 }
 
-void Bucket::Adopt(const RecordedClaims& stored, std::int64_t version) {
+void Bucket::MergeStored(const RecordedClaims& stored, std::int64_t version) {
   CheckForLostState(stored, version);
   const RecordedClaims earlier = std::exchange(claims_, stored);
   for (const auto& [request_id, nonce] : earlier.nonces()) {
@@ -204,7 +206,7 @@
     }
     is_lost = true;
     if (found != nullptr) {
-      ++context_->counts.clashes;
+      ++context_->counts.duplicate_claims;
       LogLoss("claimed twice, because the store lost the first claim",
               request_id);
     }
@@ -242,17 +244,17 @@
 }
 
 void Bucket::BackOff() {
-  const int doublings = std::min(failures_in_a_row_++, kMostDoublings);
+  const int doublings = std::min(failures_in_a_row_++, kMaxDoublings);
   const base::Duration longest =
       context_->settings.store_backoff * (std::int64_t{1} << doublings);
-  // Jitter keeps the daemons from returning to the store all at once.
+  // Jitter prevents the daemons from calling the store again all at once.
   const auto half = static_cast<std::uint64_t>(longest.count() / 2);
   const auto jitter =
       static_cast<std::int64_t>(context_->random.Below(half + 1));
   next_swap_at_ = context_->clock.Now() + longest - base::Duration(jitter);
 }
 
-void Bucket::DropHopeless() {
+void Bucket::DropUnrecordable() {
   std::erase_if(queue_, [this](const PendingClaim& claim) {
     const std::optional<base::Error> error = ReasonToDrop(claim);
     if (error) {
@@ -267,13 +269,14 @@
   if (claim.deadline <= context_->clock.Now()) {
     return MakeError(base::ErrorCode::kTimeout, "not recorded in time");
   }
-  if (claim.made_at_ms < context_->floor_ms) {
+  if (claim.made_at_ms < context_->min_claimable_ms) {
     return MakeError(base::ErrorCode::kUnavailable,
                      "the store lost claims of that time");
   }
   if (!IsWithinRetention(claim.made_at_ms,
                          context_->clock.WallMilliseconds())) {
-    return MakeError(base::ErrorCode::kExpired, "outside of the retention");
+    return MakeError(base::ErrorCode::kExpired,
+                     "outside of the retention period");
   }
   return std::nullopt;
 }
@@ -311,7 +314,7 @@
 void Bucket::Settle(const PendingClaim& claim,
                     ClaimOutcome outcome,
                     const base::Error& error) {
-  // Posted, so that whoever is told may add claims again.
+  // Posted, so that the callback may add claims again.
   context_->runner.Post([did_settle = claim.did_settle, outcome, error] {
     did_settle(outcome, error);
   });
--- a/src/claims/claim_service.cc
+++ b/src/claims/claim_service.cc
@@ -1,4 +1,4 @@
-// Routes claims between sessions, the group commit and other daemons.
+// Routes claims between the query sessions, the group commit and other daemons.
 
 #include "src/claims/claim_service.h"
 
@@ -23,13 +23,12 @@
 namespace {
 
 constexpr std::uint64_t kClaimIdBound = std::uint64_t{1} << 62;
-constexpr base::Duration kLongestWait =
-    base::Milliseconds(kLongestWaitMilliseconds);
+constexpr base::Duration kMaxWait = base::Milliseconds(kMaxWaitMilliseconds);
 constexpr base::Duration kStopCheckInterval = base::Milliseconds(10);
 
 using Callback = std::function<void(ClaimResult)>;
 
-struct Question {
+struct ClaimCall {
   std::string request_id;
   std::string nonce;
   base::MonotonicTime deadline;
@@ -46,8 +45,9 @@
   return result;
 }
 
-// An asker that goes elsewhere while its claim waits for the next group makes a
-// second daemon write the key, so it has to wait for longer than a group does.
+// If the requesting daemon turned to another daemon while its claim waited for
+// the next group, two daemons would write the key. So it must wait for longer
+// than the interval between groups.
 ClaimSettings MakeConsistent(ClaimSettings settings) {
   settings.late_group_interval =
       std::max(settings.late_group_interval, settings.group_interval);
@@ -58,7 +58,7 @@
 }
 
 base::Duration BoundWait(base::Duration wait) {
-  return std::clamp(wait, base::Duration::zero(), kLongestWait);
+  return std::clamp(wait, base::Duration::zero(), kMaxWait);
 }
 
 }  // namespace
@@ -81,7 +81,7 @@
   const ClaimCounts& counts() const { return context_->counts; }
   const base::TaskRunner& runner() const { return context_->runner; }
 
-  // Runs `method` with `arguments` later, on the sequence of claims.
+  // Posts a call of `method` with `arguments` to the claims' sequence.
   template <typename... Parameters, typename... Arguments>
   void Post(void (Impl::*method)(Parameters...), Arguments... arguments) {
     context_->runner.Post([self = shared_from_this(), method, arguments...] {
@@ -91,7 +91,7 @@
 
   void Start() { sweeper_->Start(); }
   void StopSweeping() { sweeper_->Stop(); }
-  void Ask(Question question);
+  void Ask(ClaimCall call);
   void DidReceiveRequest(const peer::Sender& sender,
                          const peer::wire::ClaimRequest& request);
   void DidReceiveReply(const peer::Sender& sender,
@@ -101,13 +101,13 @@
   void CheckStopped(const std::function<void()>& did_stop);
 
  private:
-  // The answer to a question that needs no claim, if there is one.
-  std::optional<ClaimResult> AnswerAtOnce(
-      const Question& question,
+  // Returns the result if it can be given without a claim.
+  std::optional<ClaimResult> AnswerWithoutClaim(
+      const ClaimCall& call,
       const std::optional<std::int64_t>& made_at_ms) const;
-  void StartSession(const Question& question, std::int64_t made_at_ms);
+  void StartSession(const ClaimCall& call, std::int64_t made_at_ms);
   void DidFinish(std::int64_t claim_id,
-                 const Question& question,
+                 const ClaimCall& call,
                  const ClaimResult& result);
   void Count(ClaimOutcome outcome);
   void Reply(const std::string& peer,
@@ -122,30 +122,30 @@
   const peer::PeerPort peers_;
   const blackboard::Blackboard& blackboard_;
   RecentClaims recent_;
-  // The claims that this daemon's sessions wait for, by claim identifier.
+  // The open claims of this daemon's sessions, keyed by claim identifier.
   std::map<std::int64_t, std::shared_ptr<ClaimSession>> sessions_;
   bool is_stopping_ = false;
 };
 
-void ClaimService::Impl::Ask(Question question) {
-  const auto made_at_ms = MadeAtMilliseconds(question.request_id);
-  const auto answer = AnswerAtOnce(question, made_at_ms);
+void ClaimService::Impl::Ask(ClaimCall call) {
+  const auto made_at_ms = MadeAtMilliseconds(call.request_id);
+  const auto answer = AnswerWithoutClaim(call, made_at_ms);
   if (answer) {
     Count(answer->outcome);
-    question.callback(*answer);
+    call.callback(*answer);
     return;
   }
-  StartSession(question, *made_at_ms);
+  StartSession(call, *made_at_ms);
 }
 
-std::optional<ClaimResult> ClaimService::Impl::AnswerAtOnce(
-    const Question& question,
+std::optional<ClaimResult> ClaimService::Impl::AnswerWithoutClaim(
+    const ClaimCall& call,
     const std::optional<std::int64_t>& made_at_ms) const {
-  if (!made_at_ms || !IsNonce(question.nonce)) {
+  if (!made_at_ms || !IsNonce(call.nonce)) {
     return MakeResult(ClaimOutcome::kRefused, base::ErrorCode::kInvalidArgument,
                       "not a request identifier or nonce");
   }
-  if (recent_.Has(question.request_id)) {
+  if (recent_.Has(call.request_id)) {
     return MakeResult(ClaimOutcome::kTaken, base::ErrorCode::kConflict,
                       "the request was claimed before");
   }
@@ -160,7 +160,7 @@
   if (is_stopping_) {
     return refusal;
   }
-  if (*made_at_ms < context_->floor_ms) {
+  if (*made_at_ms < context_->min_claimable_ms) {
     refusal.error =
         base::MakeError(base::ErrorCode::kUnavailable, base::Step::kClaim, "",
                         "the store lost claims of that time");
@@ -175,43 +175,42 @@
   return std::nullopt;
 }
 
-void ClaimService::Impl::StartSession(const Question& question,
+void ClaimService::Impl::StartSession(const ClaimCall& call,
                                       std::int64_t made_at_ms) {
   const auto view = blackboard_.membership.Read();
   ClaimTask task;
-  // Drawn at random, so that a reply owed to an earlier incarnation of this
-  // daemon is never taken for one to this claim.
+  // Random, so that a late reply to an earlier incarnation of this daemon is
+  // never taken for a reply to this claim.
   task.claim_id =
       static_cast<std::int64_t>(context_->random.Below(kClaimIdBound));
-  task.request_id = question.request_id;
-  task.nonce = question.nonce;
+  task.request_id = call.request_id;
+  task.nonce = call.nonce;
   task.made_at_ms = made_at_ms;
-  task.deadline = question.deadline;
+  task.deadline = call.deadline;
   task.self = view->self;
   task.candidates =
-      GroupingOrder(*view, BucketKey(question.request_id, made_at_ms));
+      GroupingOrder(*view, BucketKey(call.request_id, made_at_ms));
   const std::int64_t claim_id = task.claim_id;
   auto session = std::make_shared<ClaimSession>(
       context_, committer_, peers_, std::move(task),
-      [self = shared_from_this(), claim_id,
-       question](const ClaimResult& result) {
-        self->DidFinish(claim_id, question, result);
+      [self = shared_from_this(), claim_id, call](const ClaimResult& result) {
+        self->DidFinish(claim_id, call, result);
       });
   sessions_.emplace(claim_id, session);
   session->Start();
 }
 
 void ClaimService::Impl::DidFinish(std::int64_t claim_id,
-                                   const Question& question,
+                                   const ClaimCall& call,
                                    const ClaimResult& result) {
   sessions_.erase(claim_id);
   const bool is_recorded = result.outcome == ClaimOutcome::kGranted ||
                            result.outcome == ClaimOutcome::kTaken;
   if (is_recorded) {
-    recent_.Add(question.request_id);
+    recent_.Add(call.request_id);
   }
   Count(result.outcome);
-  question.callback(result);
+  call.callback(result);
 }
 
 void ClaimService::Impl::Count(ClaimOutcome outcome) {
@@ -244,7 +243,8 @@
     return;
   }
   if (is_stopping_) {
-    // Unsettled, not refused: the asker goes on to the next daemon.
+    // kUnsettled rather than kRefused, so that the requesting daemon tries the
+    // next daemon.
     Reply(sender.name, request, ClaimOutcome::kUnsettled, "stopping");
     return;
   }
@@ -259,8 +259,9 @@
     const bool is_unreachable_from_here =
         outcome == ClaimOutcome::kRefused &&
         error.code == base::ErrorCode::kUnreachable;
-    // Unsettled lets the asker go on to a daemon that may reach the store. A
-    // store that answers with a refusal would only get more load that way.
+    // kUnsettled makes the requesting daemon try a daemon that may reach the
+    // store. If the store itself refused the call, that would only add to its
+    // load.
     self->Reply(peer, request,
                 is_unreachable_from_here ? ClaimOutcome::kUnsettled : outcome,
                 error.detail);
@@ -277,7 +278,8 @@
   reply.request_id = request.request_id;
   reply.outcome = static_cast<std::int32_t>(outcome);
   reply.detail = detail;
-  // A reply that can't be sent is as good as lost: the asker's timer decides.
+  // A reply that cannot be sent is treated as lost: the timer of the requesting
+  // daemon handles it.
   static_cast<void>(peers_.send(peer, reply).is_ok());
 }
 
@@ -287,7 +289,7 @@
   if (found == sessions_.end()) {
     return;
   }
-  // Kept alive here, because the session leaves the map when it ends.
+  // Keeps the session alive, because it is removed from the map when it ends.
   const std::shared_ptr<ClaimSession> session = found->second;
   session->DidReceive(sender.name, reply);
 }
@@ -346,14 +348,14 @@
 ClaimPort ClaimService::port() {
   return [impl = impl_](std::string request_id, std::string nonce,
                         base::Duration deadline_left, Callback callback) {
-    Question question;
-    question.request_id = std::move(request_id);
-    question.nonce = std::move(nonce);
-    // Read before the identifier's age is checked, so that a pause between the
-    // two shortens the wait.
-    question.deadline = impl->clock().Now() + BoundWait(deadline_left);
-    question.callback = std::move(callback);
-    impl->Post(&Impl::Ask, std::move(question));
+    ClaimCall call;
+    call.request_id = std::move(request_id);
+    call.nonce = std::move(nonce);
+    // The clock is read before the identifier's age is checked, so that a pause
+    // between the two shortens the wait.
+    call.deadline = impl->clock().Now() + BoundWait(deadline_left);
+    call.callback = std::move(callback);
+    impl->Post(&Impl::Ask, std::move(call));
   };
 }
 
--- a/src/claims/group_committer.cc
+++ b/src/claims/group_committer.cc
@@ -1,4 +1,4 @@
-// Keeps the buckets of the keys in use.
+// Keeps one bucket for each key in use.
 
 #include "src/claims/group_committer.h"
 
@@ -31,10 +31,10 @@
     bucket = std::make_shared<Bucket>(context_, store_, key);
   }
   bucket->Add(std::move(claim));
-  Forget();
+  EvictIdleBuckets();
 }
 
-void GroupCommitter::Forget() {
+void GroupCommitter::EvictIdleBuckets() {
   while (buckets_.size() > context_->settings.cached_buckets) {
     auto oldest = buckets_.end();
     for (auto row = buckets_.begin(); row != buckets_.end(); ++row) {
@@ -46,7 +46,7 @@
       }
     }
     if (oldest == buckets_.end()) {
-      // All are busy; the bound on open claims bounds them.
+      // All are busy; their number is limited by the maximum of open claims.
       return;
     }
     buckets_.erase(oldest);
--- a/src/platform/caller_codec.cc
+++ b/src/platform/caller_codec.cc
@@ -47,7 +47,7 @@
   return response;
 }
 
-Response EncodeLeafResponse(query::PassedOn passed) {
+Response EncodeLeafResponse(query::LeafResponse passed) {
   Response response = std::move(passed.message);
   http1::RemoveConnectionFields(response);
   response.version(kHttpVersion);
@@ -59,7 +59,7 @@
   return response;
 }
 
-Response EncodeMergedRecords(const query::Gathered& gathered) {
+Response EncodeMergedRecords(const query::MergedRecords& gathered) {
   Response response(Status::ok, kHttpVersion);
   std::string proofs;
   for (const std::string& proof : gathered.proofs) {
@@ -109,10 +109,10 @@
 Response EncodeAnswer(query::ForwardedAnswer answer) {
   return std::visit(
       base::Overloaded{
-          [](query::PassedOn& passed) {
+          [](query::LeafResponse& passed) {
             return EncodeLeafResponse(std::move(passed));
           },
-          [](query::Gathered& gathered) {
+          [](query::MergedRecords& gathered) {
             return EncodeMergedRecords(gathered);
           },
           [](query::NoRoute&) { return MakePlain(Status::not_found); },
--- a/src/quarantine/verdict_entry.cc
+++ b/src/quarantine/verdict_entry.cc
@@ -1,4 +1,4 @@
-// Words with blanks between.
+// Encodes verdicts as words separated by spaces.
 
 #include "src/quarantine/verdict_entry.h"
 
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Some eight leaves with the times of their ends.
-constexpr std::size_t kMostEvidence = 300;
+// Enough for about eight leaves with the times at which they ended.
+constexpr std::size_t kMaxEvidenceBytes = 300;
 
 }  // namespace
 
 std::string EncodeVerdict(const blackboard::QuarantineEntry& entry) {
   return std::string(blackboard::kQuarantineStateNames.NameOf(entry.state)) +
          ' ' + std::to_string(entry.wall_ms) + ' ' +
-         entry.evidence.substr(0, kMostEvidence);
+         entry.evidence.substr(0, kMaxEvidenceBytes);
 }
 
 std::optional<blackboard::QuarantineEntry> DecodeVerdict(
--- a/src/query/fan_out_log.cc
+++ b/src/query/fan_out_log.cc
@@ -1,5 +1,5 @@
-// What the log says of a fanned-out request: its answer, with the shards that
-// are missing and the sends that were repeats, and leaves that were replaced.
+// Log messages of a fanned-out request: its answer, with the missing shards and
+// the repeated sends, and leaves that were replaced.
 
 #include "src/query/fan_out_session.h"
 
@@ -9,8 +9,8 @@
 
 using base::Step;
 
-// A line of the log names no more repeats than this.
-constexpr int kMostNamedRepeats = 8;
+// The maximum number of repeated sends listed in one log line.
+constexpr int kMaxListedRepeats = 8;
 
 }  // namespace
 
@@ -39,8 +39,8 @@
        .request_id = request_.request_id,
        .message = "leaf " + leaf.name + " of " + leaf.collection +
                   (is_replaced ? " is gone: another leaf has its address; "
-                                 "it gets no more requests"
-                               : " answers after all; it gets requests "
+                                 "it receives no more requests"
+                               : " answers again; it receives requests "
                                  "again")});
 }
 
@@ -69,7 +69,7 @@
       if (attempt->cause == SendCause::kFirst && !attempt->paid) {
         continue;
       }
-      if (named == kMostNamedRepeats) {
+      if (named == kMaxListedRepeats) {
         ++unnamed;
         continue;
       }
--- a/src/query/forward_admission.cc
+++ b/src/query/forward_admission.cc
@@ -1,6 +1,6 @@
-// What may turn a request away before anything is sent: no routes yet, too many
-// requests, a handover that does not fit, leaves that ended under it, a backlog
-// at the leaves.
+// Admission checks made before anything is sent: no routes yet, too many
+// requests, an invalid handover, a quarantined request, or a backlog at the
+// leaves.
 
 #include "src/query/forward_service.h"
 
@@ -17,12 +17,12 @@
 using base::ErrorCode;
 using base::Step;
 
-// A daemon that knows no routes yet learns them within a store call or two.
+// A daemon without routes receives them within one or two store calls.
 constexpr base::Duration kRetryWhenUnknown = base::Milliseconds(300);
 constexpr base::Duration kRetryWhenFull = base::Milliseconds(100);
-// A caller that is turned away for the leaves' sake comes back after this time
-// at least: a new connection takes about as long.
-constexpr base::Duration kLeastRetryAfter = base::Milliseconds(20);
+// The minimum retry delay of a caller refused because of a backlog: opening a
+// new connection takes about as long.
+constexpr base::Duration kMinRetryAfter = base::Milliseconds(20);
 
 bool AreShardsOf(const blackboard::WorkRoute& route,
                  const upstream::Handover& handover) {
@@ -45,11 +45,11 @@
   refusal.request_id = request.request_id;
   if (blackboard_.routes.Read()->revision == 0) {
     refusal.error = base::MakeError(ErrorCode::kUnavailable, Step::kAdmit, "",
-                                    "no routes have been learnt yet");
+                                    "no routes received yet");
     refusal.retry_after = kRetryWhenUnknown;
     return refusal;
   }
-  if (in_work_->requests >= options_.most_in_flight) {
+  if (in_flight_->requests >= options_.most_in_flight) {
     refusal.error = base::MakeError(ErrorCode::kOverloaded, Step::kAdmit, "",
                                     "too many requests in flight");
     refusal.retry_after = kRetryWhenFull;
@@ -67,10 +67,10 @@
   }
   std::string why;
   if (request.handover->routes_revision != Routes().view().revision) {
-    why = "handed over by routes of revision " +
+    why = "handed over with routes of revision " +
           std::to_string(request.handover->routes_revision);
   } else if (route == nullptr || !AreShardsOf(*route, *request.handover)) {
-    why = "handed over for other shards than the route's";
+    why = "handed over with shards that are not of the route";
   } else if (blackboard_.lifecycle.Read()->state ==
              blackboard::LifecycleState::kStopping) {
     why = "this daemon is stopping";
@@ -116,7 +116,7 @@
     const IncomingRequest& request,
     const blackboard::WorkRoute& route,
     const std::vector<std::string>& collections) {
-  admission::BacklogGate& gate = in_work_->gates[collections.front()];
+  admission::BacklogGate& gate = in_flight_->gates[collections.front()];
   const double slots = SlotsOf(collections);
   if (!options_.ablation.has(base::Mechanism::kBacklogGate) ||
       gate.MayAdmit(ExpectWork(route, request.waited), slots, clock_.Now())) {
@@ -130,8 +130,8 @@
                       "admitted requests would make it wait " +
                           std::to_string(wait.count() / 1000) +
                           " ms at the leaves; route=" + route.targets.name);
-  // When half of what is ahead is done.
-  refusal.retry_after = std::max(kLeastRetryAfter, wait / 2);
+  // By then half of the backlog is done.
+  refusal.retry_after = std::max(kMinRetryAfter, wait / 2);
   refusal.kind = RefusalKind::kOverload;
   return refusal;
 }
@@ -153,12 +153,12 @@
 std::shared_ptr<void> ForwardService::EnterGate(
     const blackboard::WorkRoute& route,
     const std::string& gate) {
-  ++in_work_->requests;
-  const std::uint64_t ticket = ++in_work_->tickets;
-  in_work_->gates[gate].DidAdmit(ticket, ExpectWork(route, {}), clock_.Now());
-  return {nullptr, [in_work = in_work_, gate, ticket](void*) {
-            --in_work->requests;
-            in_work->gates[gate].DidFinish(ticket);
+  ++in_flight_->requests;
+  const std::uint64_t ticket = ++in_flight_->tickets;
+  in_flight_->gates[gate].DidAdmit(ticket, ExpectWork(route, {}), clock_.Now());
+  return {nullptr, [in_flight = in_flight_, gate, ticket](void*) {
+            --in_flight->requests;
+            in_flight->gates[gate].DidFinish(ticket);
           }};
 }
 
--- a/src/query/forwarded_request.cc
+++ b/src/query/forwarded_request.cc
@@ -1,4 +1,4 @@
-// Answers in the words of the log.
+// Formats answers for the log.
 
 #include "src/query/forwarded_request.h"
 
@@ -8,11 +8,11 @@
 
 std::string Describe(const ForwardedAnswer& answer) {
   return std::visit(
-      base::Overloaded{[](const PassedOn& passed) {
+      base::Overloaded{[](const LeafResponse& passed) {
                          return "passed on status " +
                                 std::to_string(passed.message.result_int());
                        },
-                       [](const Gathered& gathered) {
+                       [](const MergedRecords& gathered) {
                          return "answered, " +
                                 std::to_string(gathered.missing) +
                                 " shards missing";
--- a/src/query/gather_session.cc
+++ b/src/query/gather_session.cc
@@ -1,4 +1,4 @@
-// The steps of gather_session.h.
+// The steps of GatherSession.
 
 #include "src/query/gather_session.h"
 
@@ -17,13 +17,13 @@
 using base::ErrorCode;
 using base::Step;
 
-// A caller that comes back after a refusal finds other leaves and peers.
+// By the time of a retry after this delay, other leaves and peers are chosen.
 constexpr base::Duration kRetryAfter = base::Milliseconds(50);
-// Parts are asked this long before the target: the way there and back twice,
-// and the aggregator's own delay.
+// Parts are asked this long before the target: two round trips, and the
+// aggregator's own delay.
 constexpr base::Duration kCheckTime = base::Milliseconds(6);
-// Once the target is past, a part is asked this often: seldom enough to cost
-// little, and the answer is late anyway.
+// The interval at which a part is asked after the target: long enough to cost
+// little, since the answer is late anyway.
 constexpr base::Duration kCheckInterval = base::Milliseconds(20);
 
 }  // namespace
@@ -123,22 +123,22 @@
   part.result->missing = part.shards;
   std::visit(
       base::Overloaded{
-          [&](Gathered& gathered) { part.result = std::move(gathered); },
+          [&](MergedRecords& gathered) { part.result = std::move(gathered); },
           [&](Refused& refused) { last_error_ = std::move(refused.error); },
           [&](Unknown& unknown) {
             may_have_run_ = true;
             last_error_ = std::move(unknown.error);
           },
-          [](PassedOn&) {}, [](NoRoute&) {}},
+          [](LeafResponse&) {}, [](NoRoute&) {}},
       answer);
   part.missing = part.result->missing;
-  bool are_all_in = true;
-  int missing_for_good = 0;
+  bool have_all_ended = true;
+  int missing_from_ended = 0;
   for (const Part& other : parts_) {
-    are_all_in = are_all_in && other.result;
-    missing_for_good += other.result ? other.missing : 0;
+    have_all_ended = have_all_ended && other.result;
+    missing_from_ended += other.result ? other.missing : 0;
   }
-  if (are_all_in || missing_for_good > most_missing()) {
+  if (have_all_ended || missing_from_ended > most_missing()) {
     Conclude();
     return;
   }
@@ -152,16 +152,16 @@
     return;
   }
   for (Part& part : parts_) {
-    if (is_finished_ || part.result || part.told == part.missing) {
+    if (is_finished_ || part.result || part.last_relaxed_to == part.missing) {
       continue;
     }
-    part.told = part.missing;
+    part.last_relaxed_to = part.missing;
     part.work.relax(part.missing);
   }
 }
 
 void GatherSession::Conclude() {
-  Gathered gathered;
+  MergedRecords gathered;
   std::vector<std::string> records;
   for (Part& part : parts_) {
     if (!part.result) {
@@ -179,7 +179,7 @@
   may_have_run_ = may_have_run_ || summary_.answered > 0;
   const auto& all =
       std::get<blackboard::AllShards>(request_.route->destination);
-  if (summary_.answered >= LeastAnswers(*request_.route, total())) {
+  if (summary_.answered >= MinAnswers(*request_.route, total())) {
     gathered.records = TopRecords(records, all.most_records);
     Finish(std::move(gathered));
     return;
@@ -232,7 +232,7 @@
 }
 
 int GatherSession::most_missing() const {
-  return total() - LeastAnswers(*request_.route, total());
+  return total() - MinAnswers(*request_.route, total());
 }
 
 }  // namespace medlarspread::query
--- a/tests/claims/claim_property_test.cc
+++ b/tests/claims/claim_property_test.cc
@@ -1,6 +1,6 @@
-// Random interleavings of everything that may happen to claims: whatever the
-// order, one identifier is granted at most once and each question is answered
-// exactly once. A failing run prints its seed and the shrunk sequence.
+// Tests random interleavings of all events that concern claims: in any order,
+// an identifier is granted at most once and each claim call is answered exactly
+// once. A failing run prints its seed and the shrunk sequence.
 
 #include <cstdint>
 #include <memory>
@@ -18,7 +18,7 @@
 constexpr int kDaemons = 3;
 constexpr int kIdentifiers = 3;
 
-// One event. `kind` picks what happens, `first` and `second` pick to whom.
+// One event. `kind` selects the type, `first` and `second` the daemons.
 struct Event {
   int kind = 0;
   int first = 0;
@@ -112,21 +112,21 @@
     const auto events = *rc::gen::container<std::vector<Event>>(AnyEvent());
     for (const Event& event : events) {
       Happen(world, ids, event);
-      RC_ASSERT(world.most_grants() <= 1);
+      RC_ASSERT(world.max_grants() <= 1);
     }
     for (int daemon = 0; daemon < kDaemons; ++daemon) {
       world.Resume(daemon);
     }
     world.Advance(base::Milliseconds(10'000));
-    RC_ASSERT(world.most_grants() <= 1);
-    RC_ASSERT(world.most_answers() <= 1);
-    RC_TAG(world.most_grants());
+    RC_ASSERT(world.max_grants() <= 1);
+    RC_ASSERT(world.max_answers() <= 1);
+    RC_TAG(world.max_grants());
   });
   EXPECT_TRUE(holds);
 }
 
-// The property can fail: a daemon that sends on an unsettled claim, as if a
-// swap of unknown outcome had succeeded, sends a request that another sends.
+// Checks that the property can fail: if a daemon sends on an unsettled claim,
+// as if a swap of unknown outcome had succeeded, a request is sent twice.
 TEST(ClaimPropertyTest, SendingOnAnUnsettledClaimWouldDouble) {
   ClaimsWorld world(2);
   const std::string id = world.MakeId("aaaaaaaa");
--- a/tests/claims/claims_world.cc
+++ b/tests/claims/claims_world.cc
@@ -1,4 +1,4 @@
-// The daemons, links and time of the claims tests.
+// Simulates the daemons, links and time of the claims tests.
 
 #include "tests/claims/claims_world.h"
 
@@ -16,7 +16,7 @@
 constexpr base::Duration kStep = base::Milliseconds(1);
 constexpr base::Duration kLinkDelay = base::Milliseconds(1);
 constexpr base::Duration kLateLinkDelay = base::Milliseconds(900);
-// Tasks that post tasks to another daemon are run within one step.
+// Tasks that post tasks to another daemon run within one step.
 constexpr int kRoundsPerStep = 4;
 
 }  // namespace
@@ -79,7 +79,7 @@
       }));
 }
 
-int ClaimsWorld::most_grants() const {
+int ClaimsWorld::max_grants() const {
   int most = 0;
   for (const Question& question : questions_) {
     most = std::max(most, grants(question.request_id));
@@ -87,7 +87,7 @@
   return most;
 }
 
-int ClaimsWorld::most_answers() const {
+int ClaimsWorld::max_answers() const {
   int most = 0;
   for (const Question& question : questions_) {
     most = std::max(most, question.answers);
--- a/tests/quarantine/suspect_ledger_test.cc
+++ b/tests/quarantine/suspect_ledger_test.cc
@@ -1,4 +1,4 @@
-// What convicts a request, what clears it, and what neither does.
+// Tests what convicts a request, what clears it, and what does neither.
 
 #include "src/quarantine/suspect_ledger.h"
 
@@ -22,7 +22,8 @@
     return MonotonicTime{} + Milliseconds(milliseconds);
   }
 
-  // A run from `began` to `ended`, each in milliseconds, that ended its leaf.
+  // Records a run from `began` to `ended`, both in milliseconds, that ended
+  // with its leaf.
   void EndLeaf(const Fingerprint& fingerprint, int began, int ended) {
     contradicted_ = ledger_.DidEndLeaf(
         fingerprint,
@@ -30,7 +31,7 @@
   }
 
   SuspectLedger ledger_;
-  std::optional<SuspectLedger::Contradicted> contradicted_;
+  std::optional<SuspectLedger::Contradiction> contradicted_;
   int leaves_ = 0;
   const Fingerprint request_ = Name(1);
 };
@@ -42,17 +43,17 @@
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kSuspect);
   EndLeaf(request_, 6'000, 6'010);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kAccused);
-  EXPECT_TRUE(ledger_.Judge(At(6'400)).empty());
-  const auto convictions = ledger_.Judge(At(6'410));
+  EXPECT_TRUE(ledger_.ConvictDue(At(6'400)).empty());
+  const auto convictions = ledger_.ConvictDue(At(6'410));
   ASSERT_EQ(convictions.size(), 1U);
   EXPECT_EQ(convictions.front().fingerprint, request_);
   EXPECT_EQ(convictions.front().runs.size(), 3U);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kConvicted);
-  EXPECT_TRUE(ledger_.Judge(At(7'000)).empty()) << "convicted twice";
+  EXPECT_TRUE(ledger_.ConvictDue(At(7'000)).empty()) << "convicted twice";
 }
 
-// A rack without power, a release, a service whose leaves all end at once: all
-// copies of a busy request go with them.
+// A power loss in a rack, a new release, or a service whose leaves all end at
+// once: this ends all concurrent runs of a frequent request.
 TEST_F(SuspectLedgerTest, ManyLeavesAtOnceAreOneRound) {
   for (int copy = 0; copy < 40; ++copy) {
     EndLeaf(request_, 1'000 - copy, 1'050 + copy % 3);
@@ -61,7 +62,7 @@
   EXPECT_EQ(ledger_.RoundsOf(request_), 1);
 }
 
-// However many ends of one round come first, the next rounds still count.
+// However many ends the first round has, later rounds still count.
 TEST_F(SuspectLedgerTest, ALargeRoundLeavesPlaceForTheNext) {
   for (int copy = 0; copy < 100; ++copy) {
     EndLeaf(request_, 1'000, 1'050);
@@ -80,25 +81,26 @@
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kSuspect);
 }
 
-// The copy in work at a sound leaf completes while the request is held back.
+// A concurrent run at a healthy leaf completes while the request is blocked.
 TEST_F(SuspectLedgerTest, ACompletionClearsTheAccused) {
   EndLeaf(request_, 1'000, 1'010);
   EndLeaf(request_, 1'020, 1'030);
   EndLeaf(request_, 1'040, 1'050);
   EXPECT_TRUE(ledger_.DidComplete(request_, At(1'060)));
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
-  EXPECT_TRUE(ledger_.Judge(At(9'000)).empty());
+  EXPECT_TRUE(ledger_.ConvictDue(At(9'000)).empty());
 }
 
-// A run of some seconds that was in work when the verdict fell.
+// A run of some seconds was in progress when the request was convicted.
 TEST_F(SuspectLedgerTest, ACompletionClearsTheConvicted) {
-  ledger_.DidHearConviction(request_);
+  ledger_.DidReceiveConviction(request_);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kConvicted);
   EXPECT_TRUE(ledger_.DidComplete(request_, At(9'000)));
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
 }
 
-// Another daemon tells late of an end that this one knows better about.
+// Another daemon reports an end late, when this daemon knows of a later
+// completion.
 TEST_F(SuspectLedgerTest, AnEndBeforeACompletionIsContradicted) {
   EXPECT_FALSE(ledger_.DidComplete(request_, At(1'500)));
   EndLeaf(request_, 1'000, 1'010);
@@ -118,7 +120,7 @@
   EXPECT_EQ(ledger_.RoundsOf(request_), 1);
 }
 
-// Leaves may start again under their old names.
+// Leaves may restart under their old names.
 TEST_F(SuspectLedgerTest, ALeafThatEndsAgainCountsAgain) {
   for (int time = 1; time <= 3; ++time) {
     const MonotonicTime now = At(time * 4'000);
@@ -131,21 +133,22 @@
 TEST_F(SuspectLedgerTest, EvidenceFades) {
   EndLeaf(request_, 1'000, 1'010);
   EndLeaf(request_, 2'000, 2'010);
-  const int later = 2'010 + static_cast<int>(kEvidenceKept.count() / 1'000);
+  const int later = 2'010 + static_cast<int>(kEvidenceLifetime.count() / 1'000);
   EndLeaf(request_, later + 10, later + 20);
   EXPECT_EQ(ledger_.RoundsOf(request_), 1);
-  EXPECT_TRUE(ledger_.Judge(At(3 * later)).empty());
+  EXPECT_TRUE(ledger_.ConvictDue(At(3 * later)).empty());
   EXPECT_EQ(ledger_.suspects(), 0U);
 }
 
 TEST_F(SuspectLedgerTest, WhatIsLiftedStartsAnew) {
-  ledger_.DidHearConviction(request_);
+  ledger_.DidReceiveConviction(request_);
   ledger_.Forget(request_);
   EXPECT_EQ(ledger_.StandingOf(request_), Standing::kClear);
 }
 
-// Callers that send a million different requests fill nothing: what is kept of
-// suspects is bounded, and of others nothing is kept that grows.
+// Callers that send a million different requests must not exhaust memory: the
+// number of suspects is bounded, and nothing that grows is kept for other
+// requests.
 TEST_F(SuspectLedgerTest, SuspectsAreBounded) {
   for (int number = 0; number < 5'000; ++number) {
     Fingerprint fingerprint;
