--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -64,7 +64,7 @@
 std::shared_ptr<http1::CallerListener> MakePeerListener(
     boost::asio::io_context& context,
     const std::string& address,
-    std::shared_ptr<relay::NewsServer> server,
+    std::shared_ptr<relay::UpdateServer> server,
     const base::Clock& clock) {
   http1::CallerListener::Settings listener;
   listener.address = address;
@@ -104,8 +104,8 @@
           blackboard,
           log)),
       known_(clock.Now().microseconds),
-      news_(std::make_shared<relay::NewsSource>(
-          relay::NewsSourceSettings{
+      news_(std::make_shared<relay::UpdateReader>(
+          relay::UpdateReaderSettings{
               {settings.vm.name, settings.vm.failure_domain,
                ParseAddresses(settings.peers.seeds)},
               FirstWait(settings.vm)},
@@ -116,11 +116,11 @@
               context,
               control,
               membership::EncodeNamedEntry(MakeSelf(settings)))
-              ->ask(),
+              ->fetch(),
           blackboard,
           [this] { DidRestoreStore(); },
           log)),
-      news_server_(std::make_shared<relay::NewsServer>(
+      news_server_(std::make_shared<relay::UpdateServer>(
           known_,
           control,
           [news = news_] { return news->freshness(); },
@@ -242,7 +242,7 @@
   }
   const auto freshness = news_->freshness();
   const targets::RoutesOrigin origin{
-      event.position(), news_->DescribePlace(),
+      event.position(), news_->DescribeSource(),
       freshness ? std::optional(freshness->age) : std::nullopt};
   if (routes_.DidRead(platform::DecodeConfiguration(*event.value), origin)) {
     leaves_.SetConnections(blackboard_.routes.Read()->connections);
--- a/src/daemon/store_controllers.h
+++ b/src/daemon/store_controllers.h
@@ -18,8 +18,8 @@
 #include "src/http1/caller_listener.h"
 #include "src/membership/lease_registration.h"
 #include "src/quarantine/verdict_controller.h"
-#include "src/relay/news_server.h"
-#include "src/relay/news_source.h"
+#include "src/relay/update_reader.h"
+#include "src/relay/update_server.h"
 #include "src/settings/daemon_settings.h"
 #include "src/store/event_log.h"
 #include "src/store/follower.h"
@@ -68,8 +68,8 @@
   const std::shared_ptr<quarantine::VerdictController> verdicts_;
   // What this daemon knows, for its peers.
   store::EventLog known_;
-  const std::shared_ptr<relay::NewsSource> news_;
-  const std::shared_ptr<relay::NewsServer> news_server_;
+  const std::shared_ptr<relay::UpdateReader> news_;
+  const std::shared_ptr<relay::UpdateServer> news_server_;
   const std::shared_ptr<http1::CallerListener> peers_;
   const std::shared_ptr<membership::LeaseRegistration> registration_;
   const std::shared_ptr<store::Follower> follower_;
--- a/src/relay/peer_client.cc
+++ b/src/relay/peer_client.cc
@@ -6,8 +6,8 @@
 
 #include "src/http1/caller_listener.h"
 #include "src/http1/timed_exchange.h"
-#include "src/relay/change_delays.h"
-#include "src/relay/news_server.h"
+#include "src/relay/propagation_delays.h"
+#include "src/relay/update_server.h"
 
 namespace medlarspread::relay {
 
@@ -36,13 +36,14 @@
   if (target == kNewsTarget || target.starts_with(kPositionPrefix)) {
     return kListTimeout;
   }
-  return target == kFreshnessTarget ? kPeerMargin : kNewsWait + kPeerMargin;
+  return target == kFreshnessTarget ? kPeerTimeoutMargin
+                                    : kLongPollWait + kPeerTimeoutMargin;
 }
 
-base::Result<News> DecodeResponse(const http1::Response& response,
-                                  const std::string& peer) {
+base::Result<StoreUpdate> DecodeResponse(const http1::Response& response,
+                                         const std::string& peer) {
   if (response.result() == http1::Status::ok) {
-    return DecodeNews(response.body(), peer);
+    return DecodeUpdate(response.body(), peer);
   }
   return base::MakeError(CodeOf(response.result()), Step::kPeerLink, peer,
                          "status " + std::to_string(response.result_int()));
@@ -55,20 +56,20 @@
       control_(std::move(control)),
       self_entry_(std::move(self_entry)) {}
 
-AskPeer PeerClient::ask() {
+FetchFromPeer PeerClient::fetch() {
   return [self = shared_from_this()](const std::string& peer,
                                      const std::string& target, auto done) {
-    self->Ask(peer, target, std::move(done));
+    self->Fetch(peer, target, std::move(done));
   };
 }
 
-void PeerClient::Ask(const std::string& peer,
-                     const std::string& target,
-                     std::function<void(base::Result<News>)> done) {
+void PeerClient::Fetch(const std::string& peer,
+                       const std::string& target,
+                       std::function<void(base::Result<StoreUpdate>)> done) {
   auto request = std::make_shared<http1::Request>(boost::beast::http::verb::get,
                                                   target, kHttpVersion);
   request->set(boost::beast::http::field::host, peer);
-  request->set(kFollowerField, self_entry_);
+  request->set(kFollowerHeader, self_entry_);
   http1::TimedExchange exchange;
   exchange.request = std::move(request);
   exchange.timeout = AnswerTimeout(target);
@@ -99,7 +100,7 @@
   }
   http1::ClientConnection::Settings settings;
   settings.peer = endpoint.value();
-  settings.connect_timeout = kPeerMargin;
+  settings.connect_timeout = kPeerTimeoutMargin;
   settings.did_change = [](http1::ClientConnection&) {};
   connected_to_ = peer;
   connection_ =
--- a/src/relay/peer_client.h
+++ b/src/relay/peer_client.h
@@ -13,7 +13,7 @@
 #include "src/base/result.h"
 #include "src/base/task_runner.h"
 #include "src/http1/client_connection.h"
-#include "src/relay/news_codec.h"
+#include "src/relay/update_codec.h"
 
 namespace medlarspread::relay {
 
@@ -21,17 +21,18 @@
 // kExpired, if it does not know enough; kNotFound, if it does not know the
 // question; kUnavailable, if it has no news; kMalformed; and what an exchange
 // over HTTP fails with.
-using AskPeer = std::function<void(const std::string& peer,
-                                   const std::string& target,
-                                   std::function<void(base::Result<News>)>)>;
+using FetchFromPeer =
+    std::function<void(const std::string& peer,
+                       const std::string& target,
+                       std::function<void(base::Result<StoreUpdate>)>)>;
 
 // How long the answer may take, the time that the peer waits for changes
 // included.
 base::Duration AnswerTimeout(const std::string& target);
 
 // The news in a peer's response.
-base::Result<News> DecodeResponse(const http1::Response& response,
-                                  const std::string& peer);
+base::Result<StoreUpdate> DecodeResponse(const http1::Response& response,
+                                         const std::string& peer);
 
 // Keeps the connection to the peer that was asked last. Runs on the control
 // thread.
@@ -42,12 +43,12 @@
              base::TaskRunner control,
              std::string self_entry);
 
-  AskPeer ask();
+  FetchFromPeer fetch();
 
  private:
-  void Ask(const std::string& peer,
-           const std::string& target,
-           std::function<void(base::Result<News>)> done);
+  void Fetch(const std::string& peer,
+             const std::string& target,
+             std::function<void(base::Result<StoreUpdate>)> done);
   std::shared_ptr<http1::ClientConnection> ConnectionTo(
       const std::string& peer);
 
--- a/src/relay/place_choice.cc
+++ b/src/relay/source_selector.cc
@@ -1,6 +1,6 @@
 // Ranks, the order of the places, and which of them are left alone.
 
-#include "src/relay/place_choice.h"
+#include "src/relay/source_selector.h"
 
 #include <algorithm>
 #include <set>
@@ -16,26 +16,26 @@
 
 // How long a peer whose news are old is left alone: it finds another place
 // itself within this time, if there is one.
-constexpr base::Duration kOldAvoidance = base::Milliseconds(4'000);
+constexpr base::Duration kStaleBackoff = base::Milliseconds(4'000);
 // A peer that does not answer may have restarted: it is back within a second.
 // The time doubles with each failure in a row.
-constexpr base::Duration kFirstPeerAvoidance = base::Milliseconds(500);
-constexpr int kMostPeerDoublings = 3;
+constexpr base::Duration kInitialPeerBackoff = base::Milliseconds(500);
+constexpr int kMaxPeerDoublings = 3;
 // The store is asked again at once after one failure, since it cuts watches
 // that are well now and then; after more it is left alone for a time that
 // doubles.
-constexpr base::Duration kFirstStoreAvoidance = base::Milliseconds(500);
-constexpr int kMostStoreDoublings = 3;
+constexpr base::Duration kInitialStoreBackoff = base::Milliseconds(500);
+constexpr int kMaxStoreDoublings = 3;
 // How many daemons of the own domain are asked before others.
-constexpr std::size_t kMostPeers = 2;
+constexpr std::size_t kMaxDomainPeers = 2;
 // The first in rank of a domain that ask the store themselves. One of three
 // reaches it unless it is away for all or most.
-constexpr std::size_t kMostDirect = 3;
+constexpr std::size_t kMaxDirectReaders = 3;
 // A follower that no peer has answered for this time asks the store itself. All
 // daemons that lost power at once are back within a second of one another.
-constexpr base::Duration kPatience = base::Milliseconds(2'000);
+constexpr base::Duration kStoreFallbackDelay = base::Milliseconds(2'000);
 // A VM with this part of the strongest one's processor share counts as strong.
-constexpr double kStrongPart = 0.5;
+constexpr double kStrongShareRatio = 0.5;
 
 // The strong VMs of the domain first. When the reader changes, all others read
 // everything from the new one at once: a dozen readings of some 80 KB fill the
@@ -53,7 +53,8 @@
   std::vector<std::string> others;
   for (const auto& [name, member] : view.members) {
     if (member.failure_domain == domain) {
-      const bool is_strong = member.processor_share >= kStrongPart * strongest;
+      const bool is_strong =
+          member.processor_share >= kStrongShareRatio * strongest;
       (is_strong ? strong : others).push_back(name);
     }
   }
@@ -67,25 +68,25 @@
 
 }  // namespace
 
-PlaceChoice::PlaceChoice(PlaceSettings settings,
-                         base::Clock clock,
-                         const blackboard::Blackboard& blackboard)
+SourceSelector::SourceSelector(SourceSelectorSettings settings,
+                               base::Clock clock,
+                               const blackboard::Blackboard& blackboard)
     : settings_(std::move(settings)),
       clock_(std::move(clock)),
       blackboard_(blackboard),
-      answered_(clock_.Now()) {}
+      last_answer_(clock_.Now()) {}
 
-bool PlaceChoice::knows_nobody() const {
+bool SourceSelector::knows_no_peers() const {
   return blackboard_.membership.Read()->members.size() <= 1;
 }
 
-bool PlaceChoice::is_reader() const {
+bool SourceSelector::is_reader() const {
   const auto ranked =
       RankedMembers(*blackboard_.membership.Read(), settings_.failure_domain);
   return ranked.empty() || ranked.front() == settings_.vm;
 }
 
-bool PlaceChoice::is_in_own_domain(const std::string& peer) const {
+bool SourceSelector::is_in_own_domain(const std::string& peer) const {
   const auto view = blackboard_.membership.Read();
   return std::any_of(
       view->members.begin(), view->members.end(), [&](const auto& row) {
@@ -94,31 +95,33 @@
       });
 }
 
-std::vector<std::string> PlaceChoice::Places() const {
+std::vector<std::string> SourceSelector::Sources() const {
   const auto view = blackboard_.membership.Read();
   const auto ranked = RankedMembers(*view, settings_.failure_domain);
   const auto self = std::find(ranked.begin(), ranked.end(), settings_.vm);
   const auto rank = static_cast<std::size_t>(self - ranked.begin());
-  std::vector<std::string> places;
-  for (std::size_t index = 0; index < std::min(rank, kMostPeers); ++index) {
-    places.push_back(view->members.at(ranked[index]).address);
+  std::vector<std::string> sources;
+  for (std::size_t index = 0; index < std::min(rank, kMaxDomainPeers);
+       ++index) {
+    sources.push_back(view->members.at(ranked[index]).address);
   }
   const auto others = ReadersOfOtherDomains();
-  const bool asks_store = rank < kMostDirect;
+  const bool asks_store = rank < kMaxDirectReaders;
   if (asks_store) {
-    places.emplace_back(kStore);
+    sources.emplace_back(kStore);
   }
-  places.insert(places.end(), others.begin(), others.end());
-  if (!asks_store && clock_.Now() - answered_ >= kPatience) {
-    places.emplace_back(kStore);
+  sources.insert(sources.end(), others.begin(), others.end());
+  if (!asks_store && clock_.Now() - last_answer_ >= kStoreFallbackDelay) {
+    sources.emplace_back(kStore);
   }
-  if (knows_nobody()) {
-    places.insert(places.end(), settings_.seeds.begin(), settings_.seeds.end());
+  if (knows_no_peers()) {
+    sources.insert(sources.end(), settings_.seeds.begin(),
+                   settings_.seeds.end());
   }
-  return places;
+  return sources;
 }
 
-std::vector<std::string> PlaceChoice::ReadersOfOtherDomains() const {
+std::vector<std::string> SourceSelector::ReadersOfOtherDomains() const {
   const auto view = blackboard_.membership.Read();
   std::set<std::string> domains;
   for (const auto& [name, member] : view->members) {
@@ -135,63 +138,63 @@
   return readers;
 }
 
-std::string PlaceChoice::Choose(const std::string& current) const {
-  const std::vector<std::string> places = Places();
-  for (const std::string& place : places) {
-    if (!is_avoided(place)) {
-      return place;
+std::string SourceSelector::Choose(const std::string& current) const {
+  const std::vector<std::string> sources = Sources();
+  for (const std::string& source : sources) {
+    if (!is_backing_off(source)) {
+      return source;
     }
   }
   // Everything has failed of late or is old.
   if (is_answering(current)) {
     return current;
   }
-  for (const std::string& place : places) {
-    if (is_answering(place)) {
-      return place;
+  for (const std::string& source : sources) {
+    if (is_answering(source)) {
+      return source;
     }
   }
-  return places.front();
+  return sources.front();
 }
 
-bool PlaceChoice::is_avoided(const std::string& place) const {
-  const auto row = rows_.find(place);
-  return row != rows_.end() && clock_.Now() < row->second.avoid_until;
+bool SourceSelector::is_backing_off(const std::string& source) const {
+  const auto row = states_.find(source);
+  return row != states_.end() && clock_.Now() < row->second.backoff_until;
 }
 
-bool PlaceChoice::is_answering(const std::string& place) const {
-  const auto row = rows_.find(place);
-  return row != rows_.end() && row->second.is_answering;
+bool SourceSelector::is_answering(const std::string& source) const {
+  const auto row = states_.find(source);
+  return row != states_.end() && row->second.is_answering;
 }
 
-void PlaceChoice::DidAnswer(const std::string& place) {
-  answered_ = clock_.Now();
-  rows_.erase(place);
+void SourceSelector::DidAnswer(const std::string& source) {
+  last_answer_ = clock_.Now();
+  states_.erase(source);
 }
 
-void PlaceChoice::DidGrowOld(const std::string& place) {
-  answered_ = clock_.Now();
-  rows_[place] = {clock_.Now() + kOldAvoidance, 0, true};
+void SourceSelector::DidBecomeStale(const std::string& source) {
+  last_answer_ = clock_.Now();
+  states_[source] = {clock_.Now() + kStaleBackoff, 0, true};
 }
 
-void PlaceChoice::DidFail(const std::string& place) {
-  Row& row = rows_[place];
+void SourceSelector::DidFail(const std::string& source) {
+  SourceState& row = states_[source];
   row.is_answering = false;
   ++row.failures;
-  base::Duration avoidance{};
-  if (place != kStore) {
-    const int doublings = std::min(row.failures - 1, kMostPeerDoublings);
-    avoidance = kFirstPeerAvoidance * (1 << doublings);
+  base::Duration backoff{};
+  if (source != kStore) {
+    const int doublings = std::min(row.failures - 1, kMaxPeerDoublings);
+    backoff = kInitialPeerBackoff * (1 << doublings);
   } else if (row.failures > 1) {
-    const int doublings = std::min(row.failures - 2, kMostStoreDoublings);
-    avoidance = kFirstStoreAvoidance * (1 << doublings);
+    const int doublings = std::min(row.failures - 2, kMaxStoreDoublings);
+    backoff = kInitialStoreBackoff * (1 << doublings);
   }
-  row.avoid_until = clock_.Now() + avoidance;
+  row.backoff_until = clock_.Now() + backoff;
 }
 
-int PlaceChoice::store_failures() const {
-  const auto row = rows_.find(kStore);
-  return row == rows_.end() ? 0 : row->second.failures;
+int SourceSelector::store_failures() const {
+  const auto row = states_.find(kStore);
+  return row == states_.end() ? 0 : row->second.failures;
 }
 
 }  // namespace medlarspread::relay
--- a/src/relay/place_choice.h
+++ b/src/relay/source_selector.h
@@ -21,8 +21,8 @@
 // Pure decision code over the blackboard's members; calls come from one
 // sequence.
 
-#ifndef MEDLARSPREAD_RELAY_PLACE_CHOICE_H_
-#define MEDLARSPREAD_RELAY_PLACE_CHOICE_H_
+#ifndef MEDLARSPREAD_RELAY_SOURCE_SELECTOR_H_
+#define MEDLARSPREAD_RELAY_SOURCE_SELECTOR_H_
 
 #include <map>
 #include <string>
@@ -36,30 +36,30 @@
 // The address that stands for the store.
 constexpr const char* kStore = "";
 
-struct PlaceSettings {
+struct SourceSelectorSettings {
   std::string vm;
   std::string failure_domain;
   // "ip:port" of peers that may be asked before any is known.
   std::vector<std::string> seeds;
 };
 
-class PlaceChoice {
+class SourceSelector {
  public:
-  PlaceChoice(PlaceSettings settings,
-              base::Clock clock,
-              const blackboard::Blackboard& blackboard);
+  SourceSelector(SourceSelectorSettings settings,
+                 base::Clock clock,
+                 const blackboard::Blackboard& blackboard);
 
   // The best place now. `current` is where the last news came from.
   std::string Choose(const std::string& current) const;
   // It answered with news that are young enough.
-  void DidAnswer(const std::string& place);
+  void DidAnswer(const std::string& source);
   // It answers, but its news are too old.
-  void DidGrowOld(const std::string& place);
+  void DidBecomeStale(const std::string& source);
   // It did not answer.
-  void DidFail(const std::string& place);
+  void DidFail(const std::string& source);
 
   // Whether no other daemon is known.
-  bool knows_nobody() const;
+  bool knows_no_peers() const;
   // Whether this daemon reads the store for its failure domain.
   bool is_reader() const;
   bool is_in_own_domain(const std::string& peer) const;
@@ -67,8 +67,8 @@
   int store_failures() const;
 
  private:
-  struct Row {
-    base::MonotonicTime avoid_until;
+  struct SourceState {
+    base::MonotonicTime backoff_until;
     // In a row.
     int failures = 0;
     // It answered the last time, if with old news.
@@ -76,20 +76,20 @@
   };
 
   // The places in the order in which they are asked.
-  std::vector<std::string> Places() const;
+  std::vector<std::string> Sources() const;
   std::vector<std::string> ReadersOfOtherDomains() const;
-  bool is_avoided(const std::string& place) const;
-  bool is_answering(const std::string& place) const;
+  bool is_backing_off(const std::string& source) const;
+  bool is_answering(const std::string& source) const;
 
-  const PlaceSettings settings_;
+  const SourceSelectorSettings settings_;
   const base::Clock clock_;
   const blackboard::Blackboard& blackboard_;
   // When some place answered last, or when this daemon started.
-  base::MonotonicTime answered_;
-  // Places that did not answer the last time, or with old news.
-  std::map<std::string, Row> rows_;
+  base::MonotonicTime last_answer_;
+  // Sources that did not answer the last time, or with old news.
+  std::map<std::string, SourceState> states_;
 };
 
 }  // namespace medlarspread::relay
 
-#endif  // MEDLARSPREAD_RELAY_PLACE_CHOICE_H_
+#endif  // MEDLARSPREAD_RELAY_SOURCE_SELECTOR_H_
--- a/src/relay/news_codec.cc
+++ b/src/relay/update_codec.cc
@@ -1,6 +1,6 @@
 // Thrift structures over memory buffers.
 
-#include "src/relay/news_codec.h"
+#include "src/relay/update_codec.h"
 
 #include <chrono>
 #include <exception>
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-std::string EncodeNews(const News& news) {
+std::string EncodeUpdate(const StoreUpdate& update) {
   peer::wire::StoreNews message;
-  for (const store::Event& event : news.events) {
+  for (const store::Event& event : update.events) {
     peer::wire::StoreEvent row;
     row.key = event.key;
     row.revision = event.revision;
@@ -33,20 +33,21 @@
     }
     message.events.push_back(std::move(row));
   }
-  message.revision = news.position.revision;
-  message.era = news.position.era;
-  message.cursor = news.cursor;
+  message.revision = update.position.revision;
+  message.era = update.position.era;
+  message.cursor = update.cursor;
   message.age_ms = static_cast<std::int32_t>(
-      std::chrono::duration_cast<std::chrono::milliseconds>(news.age).count());
-  message.is_direct = news.is_direct;
+      std::chrono::duration_cast<std::chrono::milliseconds>(update.age)
+          .count());
+  message.is_direct = update.is_direct;
   auto buffer = std::make_shared<TMemoryBuffer>();
   TCompactProtocolT<TMemoryBuffer> protocol(buffer);
   message.write(&protocol);
   return buffer->getBufferAsString();
 }
 
-base::Result<News> DecodeNews(const std::string& bytes,
-                              const std::string& peer) {
+base::Result<StoreUpdate> DecodeUpdate(const std::string& bytes,
+                                       const std::string& peer) {
   peer::wire::StoreNews message;
   try {
     auto buffer = std::make_shared<TMemoryBuffer>();
@@ -58,19 +59,19 @@
     return base::MakeError(base::ErrorCode::kMalformed, base::Step::kPeerLink,
                            peer, exception.what());
   }
-  News news;
+  StoreUpdate update;
   for (peer::wire::StoreEvent& row : message.events) {
     store::Event event{std::move(row.key), std::nullopt, row.revision, row.era};
     if (row.__isset.value) {
       event.value = std::move(row.value);
     }
-    news.events.push_back(std::move(event));
+    update.events.push_back(std::move(event));
   }
-  news.position = {message.era, message.revision};
-  news.cursor = message.cursor;
-  news.age = base::Milliseconds(message.age_ms);
-  news.is_direct = message.is_direct;
-  return news;
+  update.position = {message.era, message.revision};
+  update.cursor = message.cursor;
+  update.age = base::Milliseconds(message.age_ms);
+  update.is_direct = message.is_direct;
+  return update;
 }
 
 }  // namespace medlarspread::relay
--- a/src/relay/news_codec.h
+++ b/src/relay/update_codec.h
@@ -1,7 +1,7 @@
 // Store news between daemons as bytes: Thrift's compact protocol.
 
-#ifndef MEDLARSPREAD_RELAY_NEWS_CODEC_H_
-#define MEDLARSPREAD_RELAY_NEWS_CODEC_H_
+#ifndef MEDLARSPREAD_RELAY_UPDATE_CODEC_H_
+#define MEDLARSPREAD_RELAY_UPDATE_CODEC_H_
 
 #include <string>
 #include <vector>
@@ -12,7 +12,7 @@
 
 namespace medlarspread::relay {
 
-struct News {
+struct StoreUpdate {
   std::vector<store::Event> events;
   // Everything up to this position of the store is known.
   store::Position position;
@@ -23,11 +23,11 @@
   bool is_direct = false;
 };
 
-std::string EncodeNews(const News& news);
+std::string EncodeUpdate(const StoreUpdate& update);
 // kMalformed if the bytes are not whole news.
-base::Result<News> DecodeNews(const std::string& bytes,
-                              const std::string& peer);
+base::Result<StoreUpdate> DecodeUpdate(const std::string& bytes,
+                                       const std::string& peer);
 
 }  // namespace medlarspread::relay
 
-#endif  // MEDLARSPREAD_RELAY_NEWS_CODEC_H_
+#endif  // MEDLARSPREAD_RELAY_UPDATE_CODEC_H_
--- /dev/null
+++ b/src/relay/update_reader.cc
@@ -0,0 +1,456 @@
+// Readings and watches, of the store and of peers.
+
+#include "src/relay/update_reader.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "src/relay/propagation_delays.h"
+#include "src/store/restore_guard.h"
+
+namespace medlarspread::relay {
+
+namespace {
+
+using base::ErrorCode;
+using base::Step;
+
+// How long a watch waits while it is not known whether the store is back. One
+// that is sent into its silence is lost, and would be found out at its end
+// only.
+constexpr base::Duration kProbeWatchWait = base::Milliseconds(100);
+
+// Stands for a reading of the store that may be seconds old: no place that news
+// go on from.
+constexpr const char* kStaleStore = "stale";
+
+std::int64_t LatestRevision(const std::vector<store::Event>& items) {
+  std::int64_t latest = 0;
+  for (const store::Event& item : items) {
+    latest = std::max(latest, item.revision);
+  }
+  return latest;
+}
+
+}  // namespace
+
+UpdateReader::UpdateReader(UpdateReaderSettings settings,
+                           base::Clock clock,
+                           base::TaskRunner control,
+                           store::EventSource store,
+                           FetchFromPeer fetch_from_peer,
+                           const blackboard::Blackboard& blackboard,
+                           std::function<void()> did_restore_store,
+                           base::Log log)
+    : settings_(std::move(settings)),
+      clock_(clock),
+      control_(std::move(control)),
+      store_(store::GuardAgainstRestore(std::move(store))),
+      fetch_from_peer_(std::move(fetch_from_peer)),
+      did_restore_store_(std::move(did_restore_store)),
+      log_(std::move(log)),
+      start_time_(clock_.Now()),
+      selector_(settings_.sources, std::move(clock), blackboard) {}
+
+store::EventSource UpdateReader::source() {
+  store::EventSource source = store_;
+  source.list = [self = weak_from_this()](const std::string& prefix,
+                                          const std::string& after,
+                                          ListCallback done) {
+    if (auto chosen = self.lock()) {
+      chosen->List(prefix, after, std::move(done));
+    }
+  };
+  source.watch = [self = weak_from_this()](
+                     const std::string& prefix, std::int64_t cursor,
+                     base::Duration wait, WatchCallback done) {
+    if (auto chosen = self.lock()) {
+      chosen->Watch(prefix, cursor, wait, std::move(done));
+    }
+  };
+  return source;
+}
+
+void UpdateReader::DidRenew() {
+  if (current_source_ == kStore && selector_.store_failures() == 0) {
+    DidReachStore();
+  }
+}
+
+void UpdateReader::DidReachStore() {
+  selector_.DidAnswer(kStore);
+  last_store_contact_ = clock_.Now();
+}
+
+void UpdateReader::DidFailToRenew(const base::Error& error) {
+  if (current_source_ != kStore || !pending_watch_) {
+    return;
+  }
+  DidFail(kStore, error);
+  AbortWatch(base::MakeError(ErrorCode::kTimeout, Step::kWatchStore, error.peer,
+                             "given up after a failed renewal"));
+}
+
+void UpdateReader::AbortWatch(const base::Error& error) {
+  const auto watch = std::exchange(pending_watch_, nullptr);
+  if (const auto done = watch ? std::exchange(*watch, nullptr) : nullptr) {
+    done(error);
+  }
+}
+
+void UpdateReader::DidSeeEra(std::int64_t era) {
+  if (era <= era_) {
+    return;
+  }
+  const std::int64_t before = std::exchange(era_, era);
+  if (before == 0) {
+    return;
+  }
+  log_.Write({.level = base::LogLevel::kWarning,
+              .step = Step::kWatchStore,
+              .message = "the store was restored from a copy: era " +
+                         std::to_string(era) + " after " +
+                         std::to_string(before)});
+  did_restore_store_();
+  if (current_source_ == kStore) {
+    AbortWatch(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, "",
+                               "the store was restored from a copy"));
+  }
+}
+
+std::optional<base::Error> UpdateReader::CheckEra(const std::string& peer,
+                                                  StoreUpdate& update) {
+  if (update.position.era == 0) {
+    // A peer of an earlier version tells no era.
+    update.position.era = era_;
+    for (store::Event& event : update.events) {
+      event.era = era_;
+    }
+  }
+  DidSeeEra(update.position.era);
+  if (update.position.era == era_) {
+    return std::nullopt;
+  }
+  auto error = base::MakeError(
+      ErrorCode::kUnavailable, Step::kWatchStore, peer,
+      "it knows the store of era " + std::to_string(update.position.era) +
+          ", now it is in era " + std::to_string(era_));
+  selector_.DidBecomeStale(peer);
+  log_.DidFail(error, "looking for later news");
+  return error;
+}
+
+std::optional<Freshness> UpdateReader::freshness() const {
+  if (!last_store_contact_) {
+    return std::nullopt;
+  }
+  return Freshness{
+      clock_.Now() - *last_store_contact_,
+      current_source_ == kStore && selector_.store_failures() == 0};
+}
+
+std::string UpdateReader::DescribeSource() const {
+  if (current_source_ == kStore) {
+    return "the store";
+  }
+  return current_source_ == kStaleStore ? "the store, perhaps old"
+                                        : current_source_;
+}
+
+void UpdateReader::DidFail(const std::string& source,
+                           const base::Error& error) {
+  selector_.DidFail(source);
+  log_.DidFail(error, source == kStore ? "no news from the store"
+                                       : "no news from a peer");
+}
+
+std::optional<base::Error> UpdateReader::CheckUpdate(
+    const std::string& source,
+    const StoreUpdate& update) {
+  if (!update.is_direct && !selector_.is_in_own_domain(source) &&
+      last_store_contact_) {
+    auto error = base::MakeError(ErrorCode::kUnavailable, Step::kWatchStore,
+                                 source, "it does not read the store itself");
+    DidFail(source, error);
+    return error;
+  }
+  if (update.age > kMaxUpdateAge) {
+    auto error = base::MakeError(ErrorCode::kTimeout, Step::kWatchStore, source,
+                                 "its news are " +
+                                     std::to_string(update.age.count() / 1000) +
+                                     " ms old");
+    selector_.DidBecomeStale(source);
+    log_.DidFail(error, "looking for younger news");
+    return error;
+  }
+  selector_.DidAnswer(source);
+  return std::nullopt;
+}
+
+void UpdateReader::List(const std::string& prefix,
+                        const std::string& after,
+                        ListCallback done) {
+  if (after.empty()) {
+    list_source_ = next_source_.value_or(selector_.Choose(current_source_));
+    next_source_.reset();
+    if (const auto wait = StaleReadDelay()) {
+      has_reread_stale_ = has_read_;
+      list_source_ = kStaleStore;
+      control_.After(*wait, [self = shared_from_this(), prefix, after,
+                             done = std::move(done)]() mutable {
+        self->ListStore(prefix, after, std::move(done));
+      });
+      return;
+    }
+  }
+  if (list_source_ == kStore || list_source_ == kStaleStore) {
+    ListStore(prefix, after, std::move(done));
+  } else {
+    ListPeer(list_source_, std::move(done));
+  }
+}
+
+std::optional<base::Duration> UpdateReader::StaleReadDelay() const {
+  if (list_source_ != kStore || !store_.list_stale) {
+    return std::nullopt;
+  }
+  if (!has_read_) {
+    return base::Duration{};
+  }
+  if (current_source_ == kStaleStore && !has_reread_stale_ &&
+      selector_.knows_no_peers()) {
+    return std::max(base::Duration{},
+                    start_time_ + settings_.registration_wait - clock_.Now());
+  }
+  return std::nullopt;
+}
+
+void UpdateReader::ListStore(const std::string& prefix,
+                             const std::string& after,
+                             ListCallback done) {
+  const bool is_stale = list_source_ == kStaleStore;
+  const bool is_first_page = after.empty();
+  const auto& list = is_stale ? store_.list_stale : store_.list;
+  list(prefix, after,
+       [self = shared_from_this(), is_stale, is_first_page,
+        done = std::move(done)](base::Result<store::Page> page) {
+         self->has_read_ = self->has_read_ || page.is_ok();
+         if (page.is_ok()) {
+           self->DidSeeEra(page.value().era);
+         }
+         if (!page.is_ok()) {
+           self->DidFail(kStore, page.error());
+         } else if (is_stale) {
+           self->current_source_ = kStaleStore;
+           // NOTE: the store's own revision may be ahead of a page that is old,
+           // and what came in between would be taken for known or removed.
+           page.value().revision = LatestRevision(page.value().items);
+           page.value().cursor = page.value().revision;
+           self->resume_position_.DidReadStore(page.value().position());
+         } else {
+           self->current_source_ = kStore;
+           self->DidReachStore();
+           if (is_first_page) {
+             self->resume_position_.DidReadStore(page.value().position());
+           }
+         }
+         done(std::move(page));
+       });
+}
+
+void UpdateReader::ListPeer(const std::string& peer, ListCallback done) {
+  fetch_from_peer_(
+      peer, kNewsTarget,
+      [self = shared_from_this(), peer,
+       done = std::move(done)](base::Result<StoreUpdate> update) {
+        if (!update.is_ok()) {
+          self->DidFail(peer, update.error());
+          done(update.error());
+          return;
+        }
+        if (const auto error = self->CheckEra(peer, update.value())) {
+          done(*error);
+          return;
+        }
+        self->current_source_ = peer;
+        self->has_read_ = true;
+        self->last_store_contact_ = self->clock_.Now() - update.value().age;
+        const store::Position& position = update.value().position;
+        self->resume_position_.DidReadPeer(position, self->clock_.Now());
+        done(store::Page{std::move(update.value().events), true,
+                         position.revision, update.value().cursor,
+                         position.era});
+      });
+}
+
+void UpdateReader::Watch(const std::string& prefix,
+                         std::int64_t cursor,
+                         base::Duration wait,
+                         WatchCallback done) {
+  const std::string source = selector_.Choose(current_source_);
+  if (source == current_source_ && source == kStore) {
+    const base::Duration rest =
+        std::max(base::Duration{}, watch_pause_until_ - clock_.Now());
+    control_.After(rest, [self = shared_from_this(), prefix, cursor, wait,
+                          done = std::move(done)]() mutable {
+      self->WatchStore(prefix, cursor, wait, std::move(done));
+    });
+    return;
+  }
+  if (source == current_source_) {
+    WatchPeer(source, cursor, std::move(done));
+    return;
+  }
+  if (source == kStore) {
+    control_.Post([done, source] {
+      done(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, source,
+                           "reading the store itself"));
+    });
+    return;
+  }
+  if (!last_store_contact_) {
+    SwitchTo(source, std::move(done));
+    return;
+  }
+  ProbeFreshness(source, [self = shared_from_this(), source, prefix, cursor,
+                          wait, done](bool should_read) {
+    if (should_read) {
+      self->SwitchTo(source, done);
+    } else {
+      self->Watch(prefix, cursor, wait, done);
+    }
+  });
+}
+
+void UpdateReader::SwitchTo(const std::string& peer, WatchCallback done) {
+  const auto list_instead = [self = shared_from_this(), peer,
+                             done](const std::string& why) {
+    self->next_source_ = peer;
+    done(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, peer,
+                         "reading the store from another place: " + why));
+  };
+  const auto position = resume_position_.At(clock_.Now());
+  if (!position) {
+    control_.Post([list_instead] { list_instead("no position is safe"); });
+    return;
+  }
+  fetch_from_peer_(
+      peer,
+      kPositionPrefix + std::to_string(position->era) + "." +
+          std::to_string(position->revision),
+      [self = shared_from_this(), peer, list_instead,
+       done](base::Result<StoreUpdate> update) {
+        if (update.is_ok()) {
+          self->DidSwitchTo(peer, std::move(update.value()), done);
+          return;
+        }
+        // The peer knows too little, or it is of an earlier version.
+        const auto& code = update.error().code;
+        if (code == ErrorCode::kExpired || code == ErrorCode::kNotFound) {
+          list_instead(update.error().ToString());
+          return;
+        }
+        self->DidFail(peer, update.error());
+        done(update.error());
+      });
+}
+
+void UpdateReader::DidSwitchTo(const std::string& peer,
+                               StoreUpdate update,
+                               const WatchCallback& done) {
+  if (const auto error = CheckEra(peer, update)) {
+    done(*error);
+    return;
+  }
+  current_source_ = peer;
+  DidReceive(peer, std::move(update), done);
+}
+
+void UpdateReader::DidReceive(const std::string& peer,
+                              StoreUpdate update,
+                              const WatchCallback& done) {
+  (void)CheckUpdate(peer, update);
+  last_store_contact_ = clock_.Now() - update.age;
+  resume_position_.DidReadPeer(update.position, clock_.Now());
+  done(
+      store::Changes{std::move(update.events), update.cursor, update.position});
+}
+
+void UpdateReader::ProbeFreshness(const std::string& peer,
+                                  std::function<void(bool should_read)> done) {
+  fetch_from_peer_(peer, kFreshnessTarget,
+                   [self = shared_from_this(), peer,
+                    done = std::move(done)](base::Result<StoreUpdate> update) {
+                     if (update.is_ok()) {
+                       done(!self->CheckEra(peer, update.value()) &&
+                            !self->CheckUpdate(peer, update.value()));
+                       return;
+                     }
+                     // A peer of an earlier version does not know the question.
+                     const bool is_unknown =
+                         update.error().code == ErrorCode::kNotFound;
+                     if (!is_unknown) {
+                       self->DidFail(peer, update.error());
+                     }
+                     done(is_unknown);
+                   });
+}
+
+void UpdateReader::WatchPeer(const std::string& peer,
+                             std::int64_t cursor,
+                             WatchCallback done) {
+  fetch_from_peer_(
+      peer, kCursorPrefix + std::to_string(cursor),
+      [self = shared_from_this(), peer,
+       done = std::move(done)](base::Result<StoreUpdate> update) {
+        if (!update.is_ok()) {
+          if (update.error().code != ErrorCode::kExpired) {
+            self->DidFail(peer, update.error());
+          }
+          done(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, peer,
+                               update.error().ToString()));
+          return;
+        }
+        if (const auto error = self->CheckEra(peer, update.value())) {
+          done(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, peer,
+                               error->ToString()));
+          return;
+        }
+        self->DidReceive(peer, std::move(update.value()), done);
+      });
+}
+
+void UpdateReader::WatchStore(const std::string& prefix,
+                              std::int64_t cursor,
+                              base::Duration wait,
+                              WatchCallback done) {
+  const auto pending = std::make_shared<WatchCallback>(std::move(done));
+  pending_watch_ = pending;
+  store_.watch(prefix, cursor,
+               selector_.store_failures() == 0 ? wait : kProbeWatchWait,
+               [self = shared_from_this(),
+                pending](base::Result<store::Changes> changes) {
+                 // Empty if the watch was given up meanwhile.
+                 if (const auto callback = std::exchange(*pending, nullptr)) {
+                   self->DidWatchStore(changes);
+                   callback(std::move(changes));
+                 }
+               });
+}
+
+void UpdateReader::DidWatchStore(const base::Result<store::Changes>& changes) {
+  pending_watch_.reset();
+  if (!changes.is_ok()) {
+    if (changes.error().code != ErrorCode::kExpired) {
+      DidFail(kStore, changes.error());
+    }
+    return;
+  }
+  DidReachStore();
+  resume_position_.DidReadStore(changes.value().position);
+  if (!changes.value().events.empty()) {
+    watch_pause_until_ = clock_.Now() + kWatchPause;
+  }
+}
+
+}  // namespace medlarspread::relay
--- a/src/relay/news_server.cc
+++ b/src/relay/update_server.cc
@@ -1,13 +1,13 @@
 // Requests that wait for news.
 
-#include "src/relay/news_server.h"
+#include "src/relay/update_server.h"
 
 #include <algorithm>
 #include <charconv>
 #include <string>
 #include <utility>
 
-#include "src/relay/news_codec.h"
+#include "src/relay/update_codec.h"
 
 namespace medlarspread::relay {
 
@@ -63,17 +63,18 @@
 
 }  // namespace
 
-NewsServer::NewsServer(const store::EventLog& log,
-                       base::TaskRunner control,
-                       std::function<std::optional<Freshness>()> freshness,
-                       std::function<void(const std::string&)> did_hear)
+UpdateServer::UpdateServer(
+    const store::EventLog& log,
+    base::TaskRunner control,
+    std::function<std::optional<Freshness>()> freshness,
+    std::function<void(const std::string&)> did_see_follower)
     : log_(log),
       control_(std::move(control)),
       freshness_(std::move(freshness)),
-      did_hear_(std::move(did_hear)) {}
+      did_see_follower_(std::move(did_see_follower)) {}
 
-http1::Abandon NewsServer::Handle(const http1::Request& request,
-                                  http1::Respond respond) {
+http1::Abandon UpdateServer::Handle(const http1::Request& request,
+                                    http1::Respond respond) {
   const std::string_view target(request.target().data(),
                                 request.target().size());
   if (!freshness_()) {
@@ -89,17 +90,17 @@
     return [] {};
   }
   if (const auto position = ParsePosition(target)) {
-    respond(RenderKnown(log_.ChangesSince(*position)));
+    respond(RenderOrGone(log_.ChangesSince(*position)));
     return [] {};
   }
   if (const auto revision = ParseNumber(target, kRevisionPrefix)) {
     respond(RenderSinceRevision(*revision));
     return [] {};
   }
-  const auto follower = request.find(kFollowerField);
+  const auto follower = request.find(kFollowerHeader);
   if (follower != request.end()) {
     const auto entry = follower->value();
-    did_hear_({entry.data(), entry.size()});
+    did_see_follower_({entry.data(), entry.size()});
   }
   const auto cursor = ParseNumber(target, kCursorPrefix);
   if (!cursor) {
@@ -112,26 +113,26 @@
     return [] {};
   }
   const std::uint64_t id = next_id_++;
-  waiting_[id] = {*cursor, std::move(respond)};
+  pending_[id] = {*cursor, std::move(respond)};
   base::Timer timer = control_.After(
-      LongestWait(), [self = shared_from_this(), id] { self->Answer(id); });
+      MaxWait(), [self = shared_from_this(), id] { self->Answer(id); });
   return [self = shared_from_this(), id, timer]() mutable {
     timer.Cancel();
-    self->waiting_.erase(id);
+    self->pending_.erase(id);
   };
 }
 
-base::Duration NewsServer::LongestWait() const {
-  const base::Duration young_for =
-      kMostNewsAge + kAgeResolution - freshness_().value_or(Freshness{}).age;
+base::Duration UpdateServer::MaxWait() const {
+  const base::Duration fresh_for =
+      kMaxUpdateAge + kAgeResolution - freshness_().value_or(Freshness{}).age;
   // NOTE: who asks although they are old already has found nobody better.
-  return young_for > base::Duration{} ? std::min(kNewsWait, young_for)
-                                      : kNewsWait;
+  return fresh_for > base::Duration{} ? std::min(kLongPollWait, fresh_for)
+                                      : kLongPollWait;
 }
 
-void NewsServer::DidAppend() {
+void UpdateServer::DidAppend() {
   std::vector<std::uint64_t> all;
-  for (const auto& [id, waiting] : waiting_) {
+  for (const auto& [id, waiting] : pending_) {
     all.push_back(id);
   }
   for (const std::uint64_t id : all) {
@@ -139,27 +140,27 @@
   }
 }
 
-void NewsServer::Answer(std::uint64_t id) {
-  auto node = waiting_.extract(id);
+void UpdateServer::Answer(std::uint64_t id) {
+  auto node = pending_.extract(id);
   if (!node.empty()) {
     node.mapped().respond(RenderChanges(node.mapped().cursor));
   }
 }
 
-http1::Response NewsServer::RenderChanges(std::int64_t cursor) const {
-  return RenderKnown(log_.ChangesAfter(cursor));
+http1::Response UpdateServer::RenderChanges(std::int64_t cursor) const {
+  return RenderOrGone(log_.ChangesAfter(cursor));
 }
 
-http1::Response NewsServer::RenderSinceRevision(std::int64_t revision) const {
+http1::Response UpdateServer::RenderSinceRevision(std::int64_t revision) const {
   const store::Position& known = log_.position();
   // A higher one is of an era before this one.
   if (revision > known.revision) {
-    return RenderKnown(std::nullopt);
+    return RenderOrGone(std::nullopt);
   }
-  return RenderKnown(log_.ChangesSince({known.era, revision}));
+  return RenderOrGone(log_.ChangesSince({known.era, revision}));
 }
 
-http1::Response NewsServer::RenderKnown(
+http1::Response UpdateServer::RenderOrGone(
     std::optional<std::vector<store::Event>> changes) const {
   if (!changes) {
     return MakeResponse(http1::Status::gone, "");
@@ -167,12 +168,12 @@
   return Render(std::move(*changes));
 }
 
-http1::Response NewsServer::Render(std::vector<store::Event> events) const {
+http1::Response UpdateServer::Render(std::vector<store::Event> events) const {
   const Freshness freshness = freshness_().value_or(Freshness{});
   return MakeResponse(
       http1::Status::ok,
-      EncodeNews({std::move(events), log_.position(), log_.cursor(),
-                  freshness.age, freshness.is_direct}));
+      EncodeUpdate({std::move(events), log_.position(), log_.cursor(),
+                    freshness.age, freshness.is_direct}));
 }
 
 }  // namespace medlarspread::relay
--- a/src/relay/news_server.h
+++ b/src/relay/update_server.h
@@ -4,8 +4,8 @@
 // is something newer, or after a short wait with nothing; sooner, if the news
 // here become too old meanwhile, so that who asks looks elsewhere at once.
 
-#ifndef MEDLARSPREAD_RELAY_NEWS_SERVER_H_
-#define MEDLARSPREAD_RELAY_NEWS_SERVER_H_
+#ifndef MEDLARSPREAD_RELAY_UPDATE_SERVER_H_
+#define MEDLARSPREAD_RELAY_UPDATE_SERVER_H_
 
 #include <functional>
 #include <map>
@@ -16,7 +16,7 @@
 #include "src/base/clock.h"
 #include "src/base/task_runner.h"
 #include "src/http1/caller_connection.h"
-#include "src/relay/change_delays.h"
+#include "src/relay/propagation_delays.h"
 #include "src/store/event_log.h"
 
 namespace medlarspread::relay {
@@ -34,7 +34,7 @@
 
 // The field of a request for news in which the asker says who it is. A daemon
 // that does not know it leaves it out of account.
-constexpr const char* kFollowerField = "Follower";
+constexpr const char* kFollowerHeader = "Follower";
 
 // How close this daemon is to the store.
 struct Freshness {
@@ -45,33 +45,33 @@
 };
 
 // Runs on the control thread.
-class NewsServer : public std::enable_shared_from_this<NewsServer> {
+class UpdateServer : public std::enable_shared_from_this<UpdateServer> {
  public:
   // `freshness` is absent while this daemon has not read anything yet.
-  // `did_hear` is told what daemons that follow this one say of themselves; who
-  // asks once does not follow yet.
-  NewsServer(const store::EventLog& log,
-             base::TaskRunner control,
-             std::function<std::optional<Freshness>()> freshness,
-             std::function<void(const std::string&)> did_hear);
+  // `did_see_follower` is told what daemons that follow this one say of
+  // themselves; who asks once does not follow yet.
+  UpdateServer(const store::EventLog& log,
+               base::TaskRunner control,
+               std::function<std::optional<Freshness>()> freshness,
+               std::function<void(const std::string&)> did_see_follower);
 
   http1::Abandon Handle(const http1::Request& request, http1::Respond respond);
   // The log has grown.
   void DidAppend();
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     std::int64_t cursor = 0;
     http1::Respond respond;
   };
 
   // How long a request may wait.
-  base::Duration LongestWait() const;
+  base::Duration MaxWait() const;
   http1::Response RenderChanges(std::int64_t cursor) const;
   // For daemons that know no eras.
   http1::Response RenderSinceRevision(std::int64_t revision) const;
   // The changes, or that they are not all known.
-  http1::Response RenderKnown(
+  http1::Response RenderOrGone(
       std::optional<std::vector<store::Event>> changes) const;
   http1::Response Render(std::vector<store::Event> events) const;
   void Answer(std::uint64_t id);
@@ -79,11 +79,11 @@
   const store::EventLog& log_;
   const base::TaskRunner control_;
   const std::function<std::optional<Freshness>()> freshness_;
-  const std::function<void(const std::string&)> did_hear_;
+  const std::function<void(const std::string&)> did_see_follower_;
   std::uint64_t next_id_ = 1;
-  std::map<std::uint64_t, Waiting> waiting_;
+  std::map<std::uint64_t, PendingRequest> pending_;
 };
 
 }  // namespace medlarspread::relay
 
-#endif  // MEDLARSPREAD_RELAY_NEWS_SERVER_H_
+#endif  // MEDLARSPREAD_RELAY_UPDATE_SERVER_H_
--- a/tests/relay/relay_test.cc
+++ b/tests/relay/relay_test.cc
@@ -1,14 +1,14 @@
 // News from daemon to daemon, and from where a daemon takes them.
 
-#include "src/relay/news_source.h"
+#include "src/relay/update_reader.h"
 
 #include <optional>
 
 #include <gtest/gtest.h>
 
 #include "src/http1/caller_listener.h"
-#include "src/relay/news_codec.h"
-#include "src/relay/news_server.h"
+#include "src/relay/update_codec.h"
+#include "src/relay/update_server.h"
 #include "src/store/event_log.h"
 
 namespace medlarspread::relay {
@@ -19,36 +19,36 @@
 
 constexpr auto kLongest = std::chrono::seconds(20);
 
-TEST(NewsCodecTest, RoundTrip) {
-  const News news{
+TEST(UpdateCodecTest, RoundTrip) {
+  const StoreUpdate update{
       {{"a", std::string("\0x", 2), 5, 2}, {"b", std::nullopt, 6, 1}},
       {2, 6},
       42,
       Milliseconds(70),
       true};
-  const auto decoded = DecodeNews(EncodeNews(news), "peer");
+  const auto decoded = DecodeUpdate(EncodeUpdate(update), "peer");
   ASSERT_TRUE(decoded.is_ok());
-  EXPECT_EQ(decoded.value().events, news.events);
-  EXPECT_EQ(decoded.value().position, news.position);
+  EXPECT_EQ(decoded.value().events, update.events);
+  EXPECT_EQ(decoded.value().position, update.position);
   EXPECT_EQ(decoded.value().cursor, 42);
   EXPECT_EQ(decoded.value().age, Milliseconds(70));
   EXPECT_TRUE(decoded.value().is_direct);
 }
 
-TEST(NewsCodecTest, BytesCutShortAreMalformed) {
+TEST(UpdateCodecTest, BytesCutShortAreMalformed) {
   const std::string bytes =
-      EncodeNews({{{"a", "value", 5}}, {1, 6}, 42, {}, true});
+      EncodeUpdate({{{"a", "value", 5}}, {1, 6}, 42, {}, true});
   for (std::size_t size = 0; size + 1 < bytes.size(); ++size) {
-    EXPECT_FALSE(DecodeNews(bytes.substr(0, size), "peer").is_ok()) << size;
+    EXPECT_FALSE(DecodeUpdate(bytes.substr(0, size), "peer").is_ok()) << size;
   }
 }
 
 // Two daemons of one failure domain on one thread: `other` reads the store, and
 // the source under test may ask it.
-class NewsSourceTest : public testing::Test {
+class UpdateReaderTest : public testing::Test {
  protected:
   void SetUp() override {
-    server_ = std::make_shared<NewsServer>(
+    server_ = std::make_shared<UpdateServer>(
         log_, runner_, [this] { return freshness_; },
         [this](const std::string& entry) { heard_.push_back(entry); });
     http1::CallerListener::Settings settings;
@@ -77,12 +77,12 @@
     MakeSource();
   }
 
-  void MakeSource(base::Duration first_wait = {}) {
-    source_ = std::make_shared<NewsSource>(
-        NewsSourceSettings{{"self", "n1", {}}, first_wait}, base::Clock(),
-        runner_, store_,
+  void MakeSource(base::Duration registration_wait = {}) {
+    source_ = std::make_shared<UpdateReader>(
+        UpdateReaderSettings{{"self", "n1", {}}, registration_wait},
+        base::Clock(), runner_, store_,
         std::make_shared<PeerClient>(context_, runner_, "self n1 10.0.0.1:80")
-            ->ask(),
+            ->fetch(),
         blackboard_, [this] { ++restores_; }, base::Log());
   }
 
@@ -149,12 +149,12 @@
   blackboard::Blackboard blackboard_;
   store::EventLog log_{100};
   std::optional<Freshness> freshness_ = Freshness{{}, true};
-  std::shared_ptr<NewsServer> server_;
+  std::shared_ptr<UpdateServer> server_;
   std::shared_ptr<http1::CallerListener> listener_;
   store::EventSource store_;
   base::Result<store::Page> store_page_ = store::Page{{}, true, 7, 7};
   std::function<void(base::Result<store::Changes>)> store_watch_;
-  std::shared_ptr<NewsSource> source_;
+  std::shared_ptr<UpdateReader> source_;
   base::Duration store_wait_{};
   int asked_ = 0;
   int store_calls_ = 0;
@@ -164,14 +164,14 @@
   std::vector<std::string> heard_;
 };
 
-TEST_F(NewsSourceTest, AloneItReadsTheStore) {
+TEST_F(UpdateReaderTest, SingleDaemonReadsTheStore) {
   EXPECT_TRUE(source_->is_reader());
   EXPECT_TRUE(List().is_ok());
   EXPECT_EQ(store_calls_, 1);
   EXPECT_TRUE(source_->freshness()->is_direct);
 }
 
-TEST_F(NewsSourceTest, AsksTheReaderOfItsDomain) {
+TEST_F(UpdateReaderTest, AsksTheReaderOfItsDomain) {
   AddMembers("n1");
   log_.Append({{"a", "1", 5}});
   const auto page = List();
@@ -189,7 +189,7 @@
   EXPECT_EQ(changes.value().events[0].key, "b");
 }
 
-TEST_F(NewsSourceTest, AFollowerSaysWhoItIs) {
+TEST_F(UpdateReaderTest, FollowerIdentifiesItself) {
   AddMembers("n1");
   const auto page = List();
   ASSERT_TRUE(page.is_ok());
@@ -199,7 +199,7 @@
   EXPECT_EQ(heard_, std::vector<std::string>{"self n1 10.0.0.1:80"});
 }
 
-TEST_F(NewsSourceTest, StrongVmsReadForTheSmallOnes) {
+TEST_F(UpdateReaderTest, StrongVmsReadForTheSmallOnes) {
   blackboard::MembershipView view;
   view.self = "self";
   for (int number = 0; number < 20; ++number) {
@@ -217,7 +217,7 @@
   EXPECT_FALSE(source_->is_reader());
 }
 
-TEST_F(NewsSourceTest, WithoutNewsTheAnswerComesAfterAShortWait) {
+TEST_F(UpdateReaderTest, LongPollWithoutChangesTimesOut) {
   AddMembers("n1");
   const auto page = List();
   const auto changes = Watch(page.value().cursor);
@@ -227,16 +227,16 @@
 
 // Guards against a follower that waits for news of a reader that has lost the
 // store, although they have become too old.
-TEST_F(NewsSourceTest, ARequestIsAnsweredOnceTheNewsGrowTooOld) {
+TEST_F(UpdateReaderTest, LongPollEndsWhenUpdatesBecomeStale) {
   AddMembers("n1");
   const auto page = List();
-  freshness_ = Freshness{kMostNewsAge - Milliseconds(50), true};
+  freshness_ = Freshness{kMaxUpdateAge - Milliseconds(50), true};
   const auto began = std::chrono::steady_clock::now();
   ASSERT_TRUE(Watch(page.value().cursor).is_ok());
-  EXPECT_LT(std::chrono::steady_clock::now() - began, kNewsWait / 2);
+  EXPECT_LT(std::chrono::steady_clock::now() - began, kLongPollWait / 2);
 }
 
-TEST_F(NewsSourceTest, ACursorOfAnotherProcessMeansReadingAnew) {
+TEST_F(UpdateReaderTest, CursorOfAnotherProcessIsExpired) {
   AddMembers("n1");
   (void)List();
   const auto changes = Watch(3);
@@ -244,7 +244,7 @@
   EXPECT_EQ(changes.error().code, ErrorCode::kExpired);
 }
 
-TEST_F(NewsSourceTest, LeavesAReaderThatHasLostTheStore) {
+TEST_F(UpdateReaderTest, SwitchesAwayFromAReaderCutOffFromTheStore) {
   AddMembers("n1");
   const auto page = List();
   freshness_ = Freshness{Milliseconds(3'000), true};
@@ -257,17 +257,17 @@
 }
 
 // The first reading may be old: it serves until it is known whom to follow.
-TEST_F(NewsSourceTest, TheFirstReadingOfAllIsACheapOne) {
-  int cheap = 0;
-  store_.list_stale = [this, &cheap](
+TEST_F(UpdateReaderTest, FirstListIsStale) {
+  int stale_lists = 0;
+  store_.list_stale = [this, &stale_lists](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
-    ++cheap;
+    ++stale_lists;
     done(store_page_);
   };
   MakeSource();
   ASSERT_TRUE(List().is_ok());
-  EXPECT_EQ(cheap, 1);
+  EXPECT_EQ(stale_lists, 1);
   EXPECT_EQ(store_calls_, 0);
   // Nobody is to follow what may be old, and nothing goes on from it.
   EXPECT_FALSE(source_->freshness().has_value());
@@ -282,12 +282,12 @@
 
 // At the first start of a fleet nobody is known yet: the weak wait for the
 // strong, so that a hundred of them don't all read for themselves.
-TEST_F(NewsSourceTest, WhoKnowsNobodyWaitsForOthersToRegister) {
-  int cheap = 0;
-  store_.list_stale = [this, &cheap](
+TEST_F(UpdateReaderTest, WaitsForRegistrationsWhenNoPeersAreKnown) {
+  int stale_lists = 0;
+  store_.list_stale = [this, &stale_lists](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
-    ++cheap;
+    ++stale_lists;
     done(store_page_);
   };
   MakeSource(Milliseconds(60));
@@ -297,7 +297,7 @@
   ASSERT_TRUE(List().is_ok());
   EXPECT_GE(std::chrono::steady_clock::now() - began,
             std::chrono::milliseconds(55));
-  EXPECT_EQ(cheap, 2);
+  EXPECT_EQ(stale_lists, 2);
   EXPECT_EQ(store_calls_, 0);
   // Somebody has registered meanwhile, and is followed.
   AddMembers("n1");
@@ -308,12 +308,12 @@
 }
 
 // While the store turns calls away at the start, nothing is waited for.
-TEST_F(NewsSourceTest, ACheapReadingThatFailedIsMadeAgainAtOnce) {
-  int cheap = 0;
-  store_.list_stale = [this, &cheap](
+TEST_F(UpdateReaderTest, FailedStaleListIsRetriedAtOnce) {
+  int stale_lists = 0;
+  store_.list_stale = [this, &stale_lists](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
-    ++cheap;
+    ++stale_lists;
     done(store_page_);
   };
   MakeSource(Milliseconds(60'000));
@@ -322,11 +322,11 @@
   EXPECT_FALSE(List().is_ok());
   store_page_ = store::Page{{{"a", "1", 5}}, true, 9, 9};
   EXPECT_TRUE(List().is_ok());
-  EXPECT_EQ(cheap, 2);
+  EXPECT_EQ(stale_lists, 2);
 }
 
 // After a restart the changes of some seconds are asked for, not everything.
-TEST_F(NewsSourceTest, GoesOnFromTheRevisionOfTheCheapReading) {
+TEST_F(UpdateReaderTest, ResumesFromTheRevisionOfTheStaleList) {
   store_page_ = store::Page{{{"a", "1", 5}, {"b", "1", 7}}, true, 9, 9};
   store_.list_stale = [this](
                           const std::string&, const std::string&,
@@ -355,7 +355,7 @@
   EXPECT_EQ(more.value().events, (std::vector<store::Event>{{"d", "1", 10}}));
 }
 
-TEST_F(NewsSourceTest, ReadsAllFromAPeerThatDoesNotKnowEnough) {
+TEST_F(UpdateReaderTest, ListsFromAPeerThatLacksHistory) {
   store_page_ = store::Page{{{"a", "1", 5}}, true, 9, 9};
   store_.list_stale = [this](
                           const std::string&, const std::string&,
@@ -374,7 +374,7 @@
   EXPECT_EQ(store_calls_, 0);
 }
 
-TEST_F(NewsSourceTest, AReaderReadsAnewAfterTheCheapReading) {
+TEST_F(UpdateReaderTest, ReaderListsAgainAfterTheStaleList) {
   store_.list_stale = [this](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
@@ -391,7 +391,7 @@
 
 // While the store is away for everybody, its reader's news are as young as any:
 // nothing is read anew, from nobody.
-TEST_F(NewsSourceTest, StaysWithItsReaderWhileNobodyHasYoungerNews) {
+TEST_F(UpdateReaderTest, KeepsItsReaderWhileNoSourceIsFresher) {
   AddMembers("n1");
   blackboard::MembershipView view = *blackboard_.membership.Read();
   // So many that this daemon does not ask the store itself.
@@ -412,7 +412,7 @@
   EXPECT_EQ(store_calls_, 0);
 }
 
-TEST_F(NewsSourceTest, TurnsToTheStoreWhenTheReaderIsGone) {
+TEST_F(UpdateReaderTest, FallsBackToTheStoreWhenTheReaderIsDown) {
   AddMembers("n1");
   listener_->StopAccepting();
   EXPECT_FALSE(List().is_ok());
@@ -420,7 +420,7 @@
   EXPECT_EQ(store_calls_, 1);
 }
 
-TEST_F(NewsSourceTest, AsksTheStoreAgainBeforeItAsksOtherDomains) {
+TEST_F(UpdateReaderTest, AsksTheStoreAgainBeforeItAsksOtherDomains) {
   AddMembers("s1");
   (void)List();
   store_page_ = base::MakeError(ErrorCode::kConnectionLost,
@@ -434,7 +434,7 @@
   EXPECT_FALSE(source_->freshness()->is_direct);
 }
 
-TEST_F(NewsSourceTest, NeverFollowsAReaderThatFollowsAnother) {
+TEST_F(UpdateReaderTest, NeverFollowsAnIndirectReader) {
   AddMembers("s1");
   (void)List();
   store_page_ = base::MakeError(ErrorCode::kConnectionLost,
@@ -450,7 +450,7 @@
   EXPECT_EQ(asked_, asked);
 }
 
-TEST_F(NewsSourceTest, ARenewalSaysNothingOfNewsFromAPeer) {
+TEST_F(UpdateReaderTest, RenewalDoesNotRefreshPeerUpdates) {
   AddMembers("n1");
   freshness_ = Freshness{Milliseconds(1'500), true};
   (void)List();
@@ -458,7 +458,7 @@
   EXPECT_GE(source_->freshness()->age, Milliseconds(1'500));
 }
 
-TEST_F(NewsSourceTest, AFailedRenewalEndsAWatchThatTheStoreMayHaveLost) {
+TEST_F(UpdateReaderTest, FailedRenewalAbortsThePendingWatch) {
   (void)List();
   std::optional<base::Result<store::Changes>> changes;
   const auto watch = [this, &changes] {
@@ -486,7 +486,7 @@
 
 // Guards against a watch that goes on in the restored store, which knows its
 // cursor again: what was written between the copy and there would be missed.
-TEST_F(NewsSourceTest, AWatchThatIsAnsweredInALaterEraIsNotGoneOnWith) {
+TEST_F(UpdateReaderTest, WatchAnsweredInALaterEraExpires) {
   store_page_ = store::Page{{}, true, 7, 7, 1};
   (void)List();
   std::optional<base::Result<store::Changes>> changes;
@@ -500,7 +500,7 @@
 
 // Guards against a daemon that waits for its watch's end although another call
 // was answered by the restored store.
-TEST_F(NewsSourceTest, ALaterEraInAnyAnswerEndsTheWatchThatWaits) {
+TEST_F(UpdateReaderTest, LaterEraInAnyAnswerAbortsThePendingWatch) {
   store_page_ = store::Page{{}, true, 7, 7, 1};
   (void)List();
   std::optional<base::Result<store::Changes>> changes;
@@ -514,7 +514,7 @@
   EXPECT_EQ(restores_, 1);
 }
 
-TEST_F(NewsSourceTest, AReadingWhosePagesAreOfTwoErasEnds) {
+TEST_F(UpdateReaderTest, ListWithPagesOfTwoErasExpires) {
   store_page_ = store::Page{{{"a", "1", 5, 1}}, false, 7, 7, 1};
   (void)List();
   store_page_ = store::Page{{{"b", "1", 5, 2}}, true, 6, 6, 2};
@@ -529,7 +529,7 @@
 
 // What a peer has told in the earlier era is gone on with in the later one: its
 // cursor counts its own changes.
-TEST_F(NewsSourceTest, APeerPassesALaterEraOn) {
+TEST_F(UpdateReaderTest, PeerForwardsALaterEra) {
   AddMembers("n1");
   log_.Append({{"a", "1", 90, 1}});
   const auto page = List();
@@ -545,7 +545,7 @@
 
 // Guards against news of the time before a restore, from a daemon that has not
 // heard of it yet.
-TEST_F(NewsSourceTest, APeerThatIsInAnEarlierEraIsNotReadFrom) {
+TEST_F(UpdateReaderTest, PeerInAnEarlierEraIsNotUsed) {
   AddMembers("n1");
   log_.Append({{"a", "1", 90, 1}});
   const auto page = List();
@@ -562,7 +562,7 @@
 }
 
 // Daemons of an earlier version pass no era on; their news count as of now.
-TEST_F(NewsSourceTest, NewsWithoutAnEraAreOfTheOneThatIsKnown) {
+TEST_F(UpdateReaderTest, UpdatesWithoutAnEraTakeTheKnownOne) {
   AddMembers("n1");
   source_->DidSeeEra(3);
   log_.Append({{"a", "1", 90}});
@@ -572,7 +572,7 @@
 }
 
 // Daemons of an earlier version ask for the changes since a revision.
-TEST_F(NewsSourceTest, ARevisionThatIsNotReachedIsOfAnEarlierEra) {
+TEST_F(UpdateReaderTest, RevisionAboveTheKnownOneIsGone) {
   log_.DidList({2, 30});
   log_.Append({{"a", "1", 40, 2}});
   const auto status_of = [this](const std::string& target) {
@@ -590,7 +590,7 @@
   EXPECT_EQ(status_of("/news?position=2"), http1::Status::not_found);
 }
 
-TEST_F(NewsSourceTest, ADaemonThatHasReadNothingSaysSo) {
+TEST_F(UpdateReaderTest, DaemonWithoutDataAnswersUnavailable) {
   AddMembers("n1");
   freshness_.reset();
   EXPECT_FALSE(List().is_ok());
--- a/tests/relay/safe_position_test.cc
+++ b/tests/relay/resume_position_test.cc
@@ -1,6 +1,6 @@
-// SafePosition: what the store told counts at once, what peers told later.
+// ResumePosition: what the store told counts at once, what peers told later.
 
-#include "src/relay/safe_position.h"
+#include "src/relay/resume_position.h"
 
 #include <gtest/gtest.h>
 
@@ -9,32 +9,32 @@
 
 using store::Position;
 
-TEST(SafePositionTest, WhatTheStoreToldCountsAtOnce) {
-  SafePosition safe;
+TEST(ResumePositionTest, StorePositionsCountAtOnce) {
+  ResumePosition safe;
   EXPECT_FALSE(safe.At({0}).has_value());
-  safe.DidHearFromStore({1, 7});
+  safe.DidReadStore({1, 7});
   EXPECT_EQ(safe.At({0}), (Position{1, 7}));
-  safe.DidHearFromStore({1, 5});
+  safe.DidReadStore({1, 5});
   EXPECT_EQ(safe.At({0}), (Position{1, 7}));
 }
 
 // A removal that a peer holds back has a lower revision than what it told.
-TEST(SafePositionTest, WhatAPeerToldCountsOnceNothingCanBeHeldBack) {
+TEST(ResumePositionTest, PeerPositionsCountAfterTheRemovalDelay) {
   constexpr base::MonotonicTime kStart{1'000'000};
-  SafePosition safe;
-  safe.DidHearFromStore({1, 7});
-  safe.DidHearFromPeer({1, 20}, kStart);
+  ResumePosition safe;
+  safe.DidReadStore({1, 7});
+  safe.DidReadPeer({1, 20}, kStart);
   EXPECT_EQ(safe.At(kStart + base::Milliseconds(4'900)), (Position{1, 7}));
-  safe.DidHearFromPeer({1, 30}, kStart + base::Milliseconds(4'900));
+  safe.DidReadPeer({1, 30}, kStart + base::Milliseconds(4'900));
   EXPECT_EQ(safe.At(kStart + base::Milliseconds(5'000)), (Position{1, 20}));
   EXPECT_EQ(safe.At(kStart + base::Milliseconds(9'900)), (Position{1, 30}));
 }
 
 // Guards against revisions that are compared across a restore of the store.
-TEST(SafePositionTest, ALaterEraSupersedesHigherRevisions) {
-  SafePosition safe;
-  safe.DidHearFromStore({1, 90});
-  safe.DidHearFromStore({2, 40});
+TEST(ResumePositionTest, ALaterEraSupersedesHigherRevisions) {
+  ResumePosition safe;
+  safe.DidReadStore({1, 90});
+  safe.DidReadStore({2, 40});
   EXPECT_EQ(safe.At({0}), (Position{2, 40}));
 }
 
--- a/tests/relay/place_choice_test.cc
+++ b/tests/relay/source_selector_test.cc
@@ -1,6 +1,6 @@
 // Where news are taken from while daemons and the store come and go.
 
-#include "src/relay/place_choice.h"
+#include "src/relay/source_selector.h"
 
 #include <algorithm>
 
@@ -14,11 +14,11 @@
 using base::Milliseconds;
 
 // Two failure domains: n1 with three strong and many weak daemons, s1 with one.
-class PlaceChoiceTest : public testing::Test {
+class SourceSelectorTest : public testing::Test {
  protected:
   static constexpr int kWeak = 30;
 
-  PlaceChoiceTest() {
+  SourceSelectorTest() {
     for (int index = 0; index < 3; ++index) {
       Add("strong" + std::to_string(index), "n1", 0.5);
     }
@@ -39,7 +39,7 @@
     member.processor_share = share;
   }
 
-  PlaceChoice Make(const std::string& name) const {
+  SourceSelector Make(const std::string& name) const {
     return {{name, "n1", {"seed"}}, base::Clock(time_), blackboard_};
   }
 
@@ -51,7 +51,7 @@
   std::vector<std::string> ranked_;
 };
 
-TEST_F(PlaceChoiceTest, TheReaderAsksTheStoreTheOthersTheReader) {
+TEST_F(SourceSelectorTest, ReaderUsesTheStoreAndOthersUseTheReader) {
   EXPECT_EQ(Make(ranked_[0]).Choose(""), kStore);
   EXPECT_TRUE(Make(ranked_[0]).is_reader());
   EXPECT_EQ(Make(ranked_[1]).Choose(""), ranked_[0]);
@@ -59,17 +59,17 @@
   EXPECT_FALSE(Make("weak7").is_reader());
 }
 
-TEST_F(PlaceChoiceTest, AloneItAsksTheStoreThenTheSeeds) {
+TEST_F(SourceSelectorTest, WithoutPeersUsesTheStoreThenTheSeeds) {
   blackboard_.membership.Write({});
-  PlaceChoice choice = Make("strong0");
+  SourceSelector choice = Make("strong0");
   EXPECT_EQ(choice.Choose(""), kStore);
   choice.DidFail(kStore);
   choice.DidFail(kStore);
   EXPECT_EQ(choice.Choose(""), "seed");
 }
 
-TEST_F(PlaceChoiceTest, TheNextInRankIsAskedWhenTheReaderIsGone) {
-  PlaceChoice choice = Make("weak7");
+TEST_F(SourceSelectorTest, UsesTheNextRankWhenTheReaderIsDown) {
+  SourceSelector choice = Make("weak7");
   choice.DidFail(ranked_[0]);
   EXPECT_EQ(choice.Choose(ranked_[0]), ranked_[1]);
   choice.DidFail(ranked_[1]);
@@ -81,55 +81,55 @@
 
 // The load of an outage: each of hundreds of followers that turned to the store
 // asked it once a second, some thousand calls in six seconds.
-TEST_F(PlaceChoiceTest, WhileTheStoreIsAwayFollowersLeaveItAlone) {
-  PlaceChoice choice = Make("weak7");
+TEST_F(SourceSelectorTest, FollowersDoNotQueryTheStoreDuringAnOutage) {
+  SourceSelector choice = Make("weak7");
   std::string current = ranked_[0];
   for (int step = 0; step < 200; ++step) {
-    const std::string place = choice.Choose(current);
-    ASSERT_NE(place, kStore) << "after " << step;
-    if (place == "other") {
+    const std::string source = choice.Choose(current);
+    ASSERT_NE(source, kStore) << "after " << step;
+    if (source == "other") {
       // It reads the store itself, and fails to.
-      choice.DidFail(place);
+      choice.DidFail(source);
     } else {
-      choice.DidGrowOld(place);
+      choice.DidBecomeStale(source);
     }
     time_->Advance(Milliseconds(100));
   }
   EXPECT_EQ(choice.Choose(current), current);
 }
 
-TEST_F(PlaceChoiceTest, AFollowerThatNobodyAnswersTurnsToTheStore) {
-  PlaceChoice choice = Make("weak7");
+TEST_F(SourceSelectorTest, FollowerFallsBackToTheStoreWhenNoPeerAnswers) {
+  SourceSelector choice = Make("weak7");
   // All that restart at once are back within a moment.
   for (int step = 0; step < 19; ++step) {
-    const std::string place = choice.Choose("");
-    ASSERT_NE(place, kStore) << "after " << step;
-    choice.DidFail(place);
+    const std::string source = choice.Choose("");
+    ASSERT_NE(source, kStore) << "after " << step;
+    choice.DidFail(source);
     time_->Advance(Milliseconds(100));
   }
   time_->Advance(Milliseconds(100));
-  for (const std::string& place :
+  for (const std::string& source :
        {ranked_[0], ranked_[1], std::string("other")}) {
-    choice.DidFail(place);
+    choice.DidFail(source);
   }
   EXPECT_EQ(choice.Choose(""), kStore);
 }
 
-TEST_F(PlaceChoiceTest, TheFirstInRankFindOutThatTheStoreIsBack) {
+TEST_F(SourceSelectorTest, FirstRanksKeepProbingTheStore) {
   for (const std::string& name : ranked_) {
-    PlaceChoice choice = Make(name);
+    SourceSelector choice = Make(name);
     std::string current = name == ranked_[0] ? kStore : ranked_[0];
     int asked_store = 0;
     constexpr int kSteps = 100;
     for (int step = 0; step < kSteps; ++step) {
-      const std::string place = choice.Choose(current);
-      if (place == kStore) {
+      const std::string source = choice.Choose(current);
+      if (source == kStore) {
         ++asked_store;
-        choice.DidFail(place);
-      } else if (place == "other") {
-        choice.DidFail(place);
+        choice.DidFail(source);
+      } else if (source == "other") {
+        choice.DidFail(source);
       } else {
-        choice.DidGrowOld(place);
+        choice.DidBecomeStale(source);
       }
       time_->Advance(Milliseconds(100));
     }
@@ -138,8 +138,8 @@
   }
 }
 
-TEST_F(PlaceChoiceTest, OneStoreFailureIsTriedAgainAtOnce) {
-  PlaceChoice choice = Make(ranked_[0]);
+TEST_F(SourceSelectorTest, RetriesTheStoreAtOnceAfterOneFailure) {
+  SourceSelector choice = Make(ranked_[0]);
   choice.DidFail(kStore);
   EXPECT_EQ(choice.Choose(kStore), kStore);
   EXPECT_EQ(choice.store_failures(), 1);
--- a/tests/relay/news_fleet_test.cc
+++ b/tests/relay/update_fleet_test.cc
@@ -11,9 +11,9 @@
 
 #include <gtest/gtest.h>
 
-#include "src/relay/change_delays.h"
-#include "src/relay/news_server.h"
-#include "src/relay/news_source.h"
+#include "src/relay/propagation_delays.h"
+#include "src/relay/update_reader.h"
+#include "src/relay/update_server.h"
 #include "src/store/event_log.h"
 #include "src/store/follower.h"
 #include "tests/support/model_store.h"
@@ -41,9 +41,9 @@
 class Fleet;
 
 // One daemon as far as it follows the store.
-class NewsDaemon {
+class FleetDaemon {
  public:
-  NewsDaemon(Fleet& fleet, std::string name, std::uint64_t seed);
+  FleetDaemon(Fleet& fleet, std::string name, std::uint64_t seed);
 
   void Start();
   // From then on it neither asks nor answers.
@@ -60,9 +60,9 @@
  private:
   void DidChange(const std::vector<store::Event>& events);
   void Renew();
-  void Ask(const std::string& peer,
-           const std::string& target,
-           const std::function<void(base::Result<News>)>& done);
+  void Fetch(const std::string& peer,
+             const std::string& target,
+             const std::function<void(base::Result<StoreUpdate>)>& done);
 
   Fleet& fleet_;
   const std::string name_;
@@ -71,8 +71,8 @@
   int version_ = 0;
   store::EventSource store_;
   store::EventLog log_;
-  std::shared_ptr<NewsSource> source_;
-  std::shared_ptr<NewsServer> server_;
+  std::shared_ptr<UpdateReader> source_;
+  std::shared_ptr<UpdateServer> server_;
   std::shared_ptr<store::Follower> follower_;
 };
 
@@ -97,7 +97,7 @@
     }
     for (const auto& [name, member] : view.members) {
       daemons[name] =
-          std::make_unique<NewsDaemon>(*this, name, random.Below(1'000'000));
+          std::make_unique<FleetDaemon>(*this, name, random.Below(1'000'000));
     }
     for (const auto& [name, daemon] : daemons) {
       daemon->Start();
@@ -115,7 +115,7 @@
         random.Below(static_cast<std::uint64_t>(most.count()))));
   }
   // A daemon that reads the store for its failure domain.
-  NewsDaemon& FirstReader() {
+  FleetDaemon& FirstReader() {
     return *std::find_if(daemons.begin(), daemons.end(), [](const auto& row) {
               return row.second->is_reader();
             })->second;
@@ -125,10 +125,10 @@
     store.Write(kConfiguration, std::to_string(version));
     return version;
   }
-  bool IsInForce(const NewsDaemon* left_out) const {
+  bool IsInForce(const FleetDaemon* left_out) const {
     return std::all_of(daemons.begin(), daemons.end(),
                        [this, left_out](const auto& row) {
-                         const NewsDaemon& daemon = *row.second;
+                         const FleetDaemon& daemon = *row.second;
                          return !daemon.is_alive() || &daemon == left_out ||
                                 daemon.version() >= version;
                        });
@@ -136,7 +136,7 @@
   // From now until the last daemon has the newest version; kNever if it takes
   // much longer than the bound.
   base::Duration AwaitInForce() { return AwaitInForceAt(nullptr); }
-  base::Duration AwaitInForceButFor(const NewsDaemon& left_out) {
+  base::Duration AwaitInForceButFor(const FleetDaemon& left_out) {
     return AwaitInForceAt(&left_out);
   }
 
@@ -151,11 +151,11 @@
   base::Random random;
   blackboard::Blackboard blackboard;
   ModelStore store{runner};
-  std::map<std::string, std::unique_ptr<NewsDaemon>> daemons;
+  std::map<std::string, std::unique_ptr<FleetDaemon>> daemons;
   int version = 1;
 
  private:
-  base::Duration AwaitInForceAt(const NewsDaemon* left_out) {
+  base::Duration AwaitInForceAt(const FleetDaemon* left_out) {
     constexpr base::Duration kStep = Milliseconds(10);
     base::Duration passed{};
     while (!IsInForce(left_out) && passed < kNever) {
@@ -173,7 +173,7 @@
   }
 };
 
-NewsDaemon::NewsDaemon(Fleet& fleet, std::string name, std::uint64_t seed)
+FleetDaemon::FleetDaemon(Fleet& fleet, std::string name, std::uint64_t seed)
     : fleet_(fleet),
       name_(std::move(name)),
       store_(fleet.store.source(
@@ -185,14 +185,14 @@
           [this] { return !is_cut_off_; })),
       log_(static_cast<std::int64_t>(seed)) {
   const base::Clock clock(fleet_.time);
-  source_ = std::make_shared<NewsSource>(
-      NewsSourceSettings{{name_, domain(), {}}, {}}, clock, fleet_.runner,
+  source_ = std::make_shared<UpdateReader>(
+      UpdateReaderSettings{{name_, domain(), {}}, {}}, clock, fleet_.runner,
       store_,
       [this](const std::string& peer, const std::string& target, auto done) {
-        Ask(peer, target, done);
+        Fetch(peer, target, done);
       },
       fleet_.blackboard, [] {}, base::Log());
-  server_ = std::make_shared<NewsServer>(
+  server_ = std::make_shared<UpdateServer>(
       log_, fleet_.runner, [this] { return source_->freshness(); },
       [](const std::string&) {});
   follower_ = std::make_shared<store::Follower>(
@@ -210,21 +210,21 @@
       base::Log());
 }
 
-std::string NewsDaemon::domain() const {
+std::string FleetDaemon::domain() const {
   return fleet_.blackboard.membership.Read()->members.at(name_).failure_domain;
 }
 
-void NewsDaemon::Start() {
+void FleetDaemon::Start() {
   follower_->Start();
   fleet_.runner.After(fleet_.Chance(kRenewal), [this] { Renew(); });
 }
 
-void NewsDaemon::Kill() {
+void FleetDaemon::Kill() {
   is_alive_ = false;
   follower_->Stop();
 }
 
-void NewsDaemon::Renew() {
+void FleetDaemon::Renew() {
   if (!is_alive_) {
     return;
   }
@@ -244,7 +244,7 @@
   });
 }
 
-void NewsDaemon::DidChange(const std::vector<store::Event>& events) {
+void FleetDaemon::DidChange(const std::vector<store::Event>& events) {
   for (const store::Event& event : events) {
     if (event.key == kConfiguration && event.value) {
       version_ = std::max(version_, std::stoi(*event.value));
@@ -254,21 +254,23 @@
   server_->DidAppend();
 }
 
-void NewsDaemon::Handle(const http1::Request& request, http1::Respond respond) {
+void FleetDaemon::Handle(const http1::Request& request,
+                         http1::Respond respond) {
   (void)server_->Handle(request, std::move(respond));
 }
 
-void NewsDaemon::Ask(const std::string& peer,
-                     const std::string& target,
-                     const std::function<void(base::Result<News>)>& done) {
-  NewsDaemon& other = *fleet_.daemons.at(peer);
+void FleetDaemon::Fetch(
+    const std::string& peer,
+    const std::string& target,
+    const std::function<void(base::Result<StoreUpdate>)>& done) {
+  FleetDaemon& other = *fleet_.daemons.at(peer);
   const base::Duration way = other.domain() == domain() ? kOneWay : kOneWayFar;
   const auto open =
-      std::make_shared<std::function<void(base::Result<News>)>>(done);
-  const auto finish = [this, open](base::Result<News> news) {
+      std::make_shared<std::function<void(base::Result<StoreUpdate>)>>(done);
+  const auto finish = [this, open](base::Result<StoreUpdate> update) {
     if (const auto callback = std::exchange(*open, nullptr);
         callback && is_alive_) {
-      callback(std::move(news));
+      callback(std::move(update));
     }
   };
   fleet_.runner.After(AnswerTimeout(target), [finish, peer] {
@@ -334,7 +336,7 @@
 // A reader of the store loses power at the moment of the change.
 base::Duration ReaderKilled(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'500)));
-  NewsDaemon& reader = fleet.FirstReader();
+  FleetDaemon& reader = fleet.FirstReader();
   reader.Kill();
   fleet.Advance(fleet.Chance(Milliseconds(50)));
   fleet.Change();
@@ -356,30 +358,30 @@
 // The reader of one failure domain has lost the store for a while, alone.
 base::Duration ReaderCutOff(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'500)));
-  NewsDaemon& reader = fleet.FirstReader();
+  FleetDaemon& reader = fleet.FirstReader();
   reader.set_cut_off(true);
   fleet.Advance(fleet.Chance(Milliseconds(4'000)));
   fleet.Change();
   return fleet.AwaitInForceButFor(reader);
 }
 
-struct NewsCase {
+struct FaultCase {
   const char* name;
   Case play;
 };
 
-class NewsFleetTest
-    : public testing::TestWithParam<std::tuple<NewsCase, FleetSize>> {};
+class UpdateFleetTest
+    : public testing::TestWithParam<std::tuple<FaultCase, FleetSize>> {};
 
-TEST_P(NewsFleetTest, AChangeIsInForceInTime) {
-  const auto& [news_case, size] = GetParam();
+TEST_P(UpdateFleetTest, ChangePropagatesWithinTheBound) {
+  const auto& [fault_case, size] = GetParam();
   // A run of the large fleet takes a quarter of a second.
   const std::uint64_t seeds = size.daemons > 100 ? 8 : 60;
   std::vector<base::Duration> times;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Fleet fleet(size, seed);
-    times.push_back(news_case.play(fleet));
-    EXPECT_LE(times.back(), kChangeBound)
+    times.push_back(fault_case.play(fleet));
+    EXPECT_LE(times.back(), kPropagationBound)
         << "seed " << seed << ": " << times.back().count() / 1000 << " ms";
   }
   std::sort(times.begin(), times.end());
@@ -391,7 +393,7 @@
 // Guards against a bound that is kept unless a change falls into the worst
 // moment of the waits on its way: the one reader of a failure domain loses the
 // store at each phase of its rest, watch and renewal, and the change follows.
-TEST(NewsPhaseTest, NoPhaseOfALostReaderBreaksTheBound) {
+TEST(UpdatePhaseTest, ReaderLossAtAnyPhaseStaysWithinTheBudget) {
   constexpr base::Duration kPhases = Milliseconds(2'000);
   constexpr base::Duration kStep = Milliseconds(20);
   base::Duration worst{};
@@ -399,12 +401,12 @@
     for (base::Duration phase{}; phase < kPhases; phase += kStep) {
       Fleet fleet({9, 3}, seed);
       fleet.Advance(phase);
-      NewsDaemon& reader = fleet.FirstReader();
+      FleetDaemon& reader = fleet.FirstReader();
       reader.set_cut_off(true);
       fleet.Advance(Milliseconds(1));
       fleet.Change();
       const base::Duration time = fleet.AwaitInForceButFor(reader);
-      EXPECT_LE(time, kMostDelay)
+      EXPECT_LE(time, kPropagationBudget)
           << "seed " << seed << ", phase " << phase.count() / 1000
           << " ms: " << time.count() / 1000 << " ms";
       worst = std::max(worst, time);
@@ -419,14 +421,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Cases,
-    NewsFleetTest,
-    testing::Combine(testing::Values(NewsCase{"Calm", Calm},
-                                     NewsCase{"Restored", Restored},
-                                     NewsCase{"RestoredInAMoment",
-                                              RestoredInAMoment},
-                                     NewsCase{"StoreAway", StoreAway},
-                                     NewsCase{"ReaderKilled", ReaderKilled},
-                                     NewsCase{"ReaderCutOff", ReaderCutOff}),
+    UpdateFleetTest,
+    testing::Combine(testing::Values(FaultCase{"Calm", Calm},
+                                     FaultCase{"Restored", Restored},
+                                     FaultCase{"RestoredInAMoment",
+                                               RestoredInAMoment},
+                                     FaultCase{"StoreAway", StoreAway},
+                                     FaultCase{"ReaderKilled", ReaderKilled},
+                                     FaultCase{"ReaderCutOff", ReaderCutOff}),
                      testing::Values(kSmall, kGrown, kLarge)),
     [](const auto& info) {
       return std::get<0>(info.param).name +
