--- a/src/relay/peer_client.cc
+++ b/src/relay/peer_client.cc
@@ -1,4 +1,4 @@
-// Exchanges with peers.
+// Runs the HTTP exchanges with peers.
 
 #include "src/relay/peer_client.h"
 
--- a/src/relay/peer_client.h
+++ b/src/relay/peer_client.h
@@ -1,4 +1,4 @@
-// Asks other daemons for news of the store, over HTTP.
+// Fetches store updates from other daemons over HTTP.
 
 #ifndef MEDLARSPREAD_RELAY_PEER_CLIENT_H_
 #define MEDLARSPREAD_RELAY_PEER_CLIENT_H_
@@ -17,28 +17,29 @@
 
 namespace medlarspread::relay {
 
-// Asks the peer at an address for one of the targets of news_server.h. Errors:
-// kExpired, if it does not know enough; kNotFound, if it does not know the
-// question; kUnavailable, if it has no news; kMalformed; and what an exchange
-// over HTTP fails with.
+// Requests one of the targets of update_server.h from the peer at an address.
+// Errors: kExpired, if the peer's history does not reach back far enough;
+// kNotFound, if it does not support the request; kUnavailable, if it has no
+// data; kMalformed; and the errors of an HTTP exchange.
 using FetchFromPeer =
     std::function<void(const std::string& peer,
                        const std::string& target,
                        std::function<void(base::Result<StoreUpdate>)>)>;
 
-// How long the answer may take, the time that the peer waits for changes
-// included.
+// The timeout of a request, including the time that the peer may hold it while
+// it waits for changes.
 base::Duration AnswerTimeout(const std::string& target);
 
-// The news in a peer's response.
+// The update in a peer's response, or the error that its status stands for.
 base::Result<StoreUpdate> DecodeResponse(const http1::Response& response,
                                          const std::string& peer);
 
-// Keeps the connection to the peer that was asked last. Runs on the control
+// Keeps the connection to the last peer open for reuse. Runs on the control
 // thread.
 class PeerClient : public std::enable_shared_from_this<PeerClient> {
  public:
-  // `self_entry`: what this daemon says of itself to those that it asks.
+  // `self_entry`: the description of this daemon that is sent with each
+  // request.
   PeerClient(boost::asio::io_context& context,
              base::TaskRunner control,
              std::string self_entry);
--- a/src/relay/resume_position.h
+++ b/src/relay/resume_position.h
@@ -1,11 +1,12 @@
-// From which position of the store on a daemon may ask another place for
-// changes and miss nothing.
+// Tracks the store position from which a daemon may resume at another source
+// without missing changes.
 //
-// What the store itself told is whole up to its position. A peer may hold a
-// removal back for some seconds after an outage (store::Follower), so that its
-// revision is ahead of what it has told: it counts once that time is over.
+// Updates from the store itself are complete up to their position. A peer may
+// delay removals for some seconds after an outage (store::Follower), so its
+// revision can be ahead of what it has sent. A position received from a peer
+// therefore counts only after that delay.
 //
-// Pure bookkeeping; calls come from one sequence.
+// Bookkeeping only; not thread-safe.
 
 #ifndef MEDLARSPREAD_RELAY_RESUME_POSITION_H_
 #define MEDLARSPREAD_RELAY_RESUME_POSITION_H_
@@ -28,14 +29,14 @@
     ConfirmPeerPositions(now);
   }
 
-  // Absent if nothing is known that well yet.
+  // Absent until a position is known to be complete.
   std::optional<store::Position> At(base::MonotonicTime now) {
     ConfirmPeerPositions(now);
     return position_;
   }
 
  private:
-  // Twice as long as a follower holds removals back.
+  // Twice the time for which a follower delays removals.
   static constexpr base::Duration kMaxRemovalDelay = base::Milliseconds(5'000);
 
   void AdvanceTo(const store::Position& position) {
@@ -51,8 +52,8 @@
   }
 
   std::optional<store::Position> position_;
-  // What peers told, oldest first; none is older than kMaxRemovalDelay. News
-  // come once or twice a second.
+  // The positions that peers have sent, oldest first; none is older than
+  // kMaxRemovalDelay. Updates come once or twice a second.
   std::deque<std::pair<base::MonotonicTime, store::Position>> unconfirmed_;
 };
 
--- a/src/relay/source_selector.cc
+++ b/src/relay/source_selector.cc
@@ -1,4 +1,4 @@
-// Ranks, the order of the places, and which of them are left alone.
+// Ranks daemons, orders the sources and applies their backoff.
 
 #include "src/relay/source_selector.h"
 
@@ -14,33 +14,35 @@
 
 using blackboard::MembershipView;
 
-// How long a peer whose news are old is left alone: it finds another place
-// itself within this time, if there is one.
+// The backoff of a peer with stale data. It finds another source itself within
+// this time, if there is one.
 constexpr base::Duration kStaleBackoff = base::Milliseconds(4'000);
-// A peer that does not answer may have restarted: it is back within a second.
-// The time doubles with each failure in a row.
+// The backoff of a peer that does not answer. It may have restarted, which
+// takes less than a second, so this starts low and doubles with each
+// consecutive failure.
 constexpr base::Duration kInitialPeerBackoff = base::Milliseconds(500);
 constexpr int kMaxPeerDoublings = 3;
-// The store is asked again at once after one failure, since it cuts watches
-// that are well now and then; after more it is left alone for a time that
-// doubles.
+// The store is retried at once after one failure, since it occasionally cuts
+// healthy watches. After more, the backoff starts here and doubles.
 constexpr base::Duration kInitialStoreBackoff = base::Milliseconds(500);
 constexpr int kMaxStoreDoublings = 3;
-// How many daemons of the own domain are asked before others.
+// How many daemons of its own domain a daemon tries before other sources.
 constexpr std::size_t kMaxDomainPeers = 2;
-// The first in rank of a domain that ask the store themselves. One of three
-// reaches it unless it is away for all or most.
+// How many daemons of a domain, from the first in rank, use the store
+// themselves. One of three can reach it unless it is unavailable to all or
+// most.
 constexpr std::size_t kMaxDirectReaders = 3;
-// A follower that no peer has answered for this time asks the store itself. All
-// daemons that lost power at once are back within a second of one another.
+// A follower uses the store itself after no peer has answered for this time.
+// Daemons that lost power together are back within a second of one another.
 constexpr base::Duration kStoreFallbackDelay = base::Milliseconds(2'000);
-// A VM with this part of the strongest one's processor share counts as strong.
+// A VM counts as strong if its processor share is at least this fraction of the
+// strongest one's.
 constexpr double kStrongShareRatio = 0.5;
 
-// The strong VMs of the domain first. When the reader changes, all others read
-// everything from the new one at once: a dozen readings of some 80 KB fill the
-// link of a small VM for half a second, and with it every request that it has
-// in work.
+// Ranks strong VMs before weak ones. When the store reader changes, all others
+// list all keys from the new one at once: a dozen lists of about 80 KB each
+// fill the link of a small VM for half a second and delay all requests that it
+// is serving.
 std::vector<std::string> RankedMembers(const MembershipView& view,
                                        const std::string& domain) {
   double strongest = 0.0;
@@ -145,7 +147,7 @@
       return source;
     }
   }
-  // Everything has failed of late or is old.
+  // All sources are in backoff.
   if (is_answering(current)) {
     return current;
   }
--- a/src/relay/source_selector.h
+++ b/src/relay/source_selector.h
@@ -1,25 +1,27 @@
-// Where a daemon takes its news of the store from: the store itself, or a peer
+// Selects where a daemon reads store updates from: the store itself, or a peer
 // that follows it.
 //
-// Of the daemons of a failure domain the first in rank reads the store; the
-// others ask it. So the calls to the store grow with the failure domains and
-// not with the daemons. A place that does not answer, or whose news are old, is
-// left alone for a while, and the next one is asked:
-//   - the first in rank asks the store, then readers of other domains that do
-//     read the store, so that no two ever wait for each other;
-//   - the second and the third ask those before them, then as the first does;
-//   - all others ask the first two, then readers of other domains. They turn to
-//     the store only if no peer has answered for a while: while the store is
-//     away for everybody, a hundred of them that ask it learn nothing and cost
-//     a call each, again and again; and where all daemons restart at once,
-//     those that they follow are there a moment later;
-//   - a daemon that knows no others yet asks the store, then the addresses in
-//     its settings.
-// Where everything is left alone, a daemon stays where it is, if there somebody
-// answers.
+// In each failure domain the daemon first in rank reads the store, and the
+// others read from it. So the number of calls to the store grows with the
+// number of failure domains, not of daemons. A source that does not answer, or
+// whose data are stale, is skipped for a backoff time, and the next one is
+// tried:
+//   - the first in rank uses the store, then the store readers of other
+//     domains. It accepts only peers that read the store themselves, so that
+//     two daemons never wait for each other;
+//   - the second and the third use those ranked before them, then the same
+//     sources as the first;
+//   - all others use the first two, then the store readers of other domains.
+//     They use the store only if no peer has answered for some time. During a
+//     store outage a hundred of them would each repeat a paid call without
+//     learning anything, and when all daemons restart at once, the peers that
+//     they follow are back a moment later;
+//   - a daemon that knows no peers yet uses the store, then the seed addresses
+//     in its settings.
+// If all sources are in backoff, a daemon keeps its current one as long as that
+// one answers.
 //
-// Pure decision code over the blackboard's members; calls come from one
-// sequence.
+// Decision logic only, based on the blackboard's membership; not thread-safe.
 
 #ifndef MEDLARSPREAD_RELAY_SOURCE_SELECTOR_H_
 #define MEDLARSPREAD_RELAY_SOURCE_SELECTOR_H_
@@ -33,13 +35,13 @@
 
 namespace medlarspread::relay {
 
-// The address that stands for the store.
+// The source that stands for the store; all others are peer addresses.
 constexpr const char* kStore = "";
 
 struct SourceSelectorSettings {
   std::string vm;
   std::string failure_domain;
-  // "ip:port" of peers that may be asked before any is known.
+  // "ip:port" of peers to ask before any others are known.
   std::vector<std::string> seeds;
 };
 
@@ -49,33 +51,33 @@
                  base::Clock clock,
                  const blackboard::Blackboard& blackboard);
 
-  // The best place now. `current` is where the last news came from.
+  // Returns the best source now. `current` is the source of the last update.
   std::string Choose(const std::string& current) const;
-  // It answered with news that are young enough.
+  // The source answered with fresh data.
   void DidAnswer(const std::string& source);
-  // It answers, but its news are too old.
+  // The source answers, but its data are stale.
   void DidBecomeStale(const std::string& source);
-  // It did not answer.
+  // The source did not answer.
   void DidFail(const std::string& source);
 
-  // Whether no other daemon is known.
+  // Whether the membership holds no other daemon.
   bool knows_no_peers() const;
   // Whether this daemon reads the store for its failure domain.
   bool is_reader() const;
   bool is_in_own_domain(const std::string& peer) const;
-  // Failures of the store in a row.
+  // The number of consecutive failures of the store.
   int store_failures() const;
 
  private:
   struct SourceState {
     base::MonotonicTime backoff_until;
-    // In a row.
+    // Consecutive failures.
     int failures = 0;
-    // It answered the last time, if with old news.
+    // Whether the last request was answered, even if with stale data.
     bool is_answering = false;
   };
 
-  // The places in the order in which they are asked.
+  // All sources, in order of preference.
   std::vector<std::string> Sources() const;
   std::vector<std::string> ReadersOfOtherDomains() const;
   bool is_backing_off(const std::string& source) const;
@@ -84,9 +86,9 @@
   const SourceSelectorSettings settings_;
   const base::Clock clock_;
   const blackboard::Blackboard& blackboard_;
-  // When some place answered last, or when this daemon started.
+  // When any source last answered, or when this daemon started.
   base::MonotonicTime last_answer_;
-  // Sources that did not answer the last time, or with old news.
+  // The sources whose last request failed or returned stale data.
   std::map<std::string, SourceState> states_;
 };
 
--- a/src/relay/update_codec.cc
+++ b/src/relay/update_codec.cc
@@ -1,4 +1,4 @@
-// Thrift structures over memory buffers.
+// Converts updates to and from Thrift structures in memory buffers.
 
 #include "src/relay/update_codec.h"
 
--- a/src/relay/update_codec.h
+++ b/src/relay/update_codec.h
@@ -1,4 +1,5 @@
-// Store news between daemons as bytes: Thrift's compact protocol.
+// Serializes the store updates that daemons exchange, in Thrift's compact
+// protocol. The message is called StoreNews on the wire.
 
 #ifndef MEDLARSPREAD_RELAY_UPDATE_CODEC_H_
 #define MEDLARSPREAD_RELAY_UPDATE_CODEC_H_
@@ -14,17 +15,18 @@
 
 struct StoreUpdate {
   std::vector<store::Event> events;
-  // Everything up to this position of the store is known.
+  // All changes up to this position are included or already known.
   store::Position position;
+  // The position in the sender's event log.
   std::int64_t cursor = 0;
-  // Since the store last answered the first daemon of the chain.
+  // Time since the store last answered the first daemon of the relay chain.
   base::Duration age{};
-  // Whether the sender reads the store itself.
+  // Whether the sender reads the store itself, not through a peer.
   bool is_direct = false;
 };
 
 std::string EncodeUpdate(const StoreUpdate& update);
-// kMalformed if the bytes are not whole news.
+// Fails with kMalformed if the bytes are not a complete message.
 base::Result<StoreUpdate> DecodeUpdate(const std::string& bytes,
                                        const std::string& peer);
 
--- a/src/relay/update_reader.cc
+++ b/src/relay/update_reader.cc
@@ -1,4 +1,4 @@
-// Readings and watches, of the store and of peers.
+// Lists and watches the store and peers.
 
 #include "src/relay/update_reader.h"
 
@@ -15,13 +15,13 @@
 using base::ErrorCode;
 using base::Step;
 
-// How long a watch waits while it is not known whether the store is back. One
-// that is sent into its silence is lost, and would be found out at its end
-// only.
+// The wait of a watch after a failure of the store. If the store is still
+// silent, the watch is lost, which shows only at its timeout; a short wait
+// keeps that brief.
 constexpr base::Duration kProbeWatchWait = base::Milliseconds(100);
 
-// Stands for a reading of the store that may be seconds old: no place that news
-// go on from.
+// Marks a stale read of the store as the source. Watching cannot continue from
+// it.
 constexpr const char* kStaleStore = "stale";
 
 std::int64_t LatestRevision(const std::vector<store::Event>& items) {
@@ -88,7 +88,7 @@
   }
   DidFail(kStore, error);
   AbortWatch(base::MakeError(ErrorCode::kTimeout, Step::kWatchStore, error.peer,
-                             "given up after a failed renewal"));
+                             "aborted the watch after a failed lease renewal"));
 }
 
 void UpdateReader::AbortWatch(const base::Error& error) {
@@ -121,7 +121,7 @@
 std::optional<base::Error> UpdateReader::CheckEra(const std::string& peer,
                                                   StoreUpdate& update) {
   if (update.position.era == 0) {
-    // A peer of an earlier version tells no era.
+    // Peers of an earlier version do not send an era.
     update.position.era = era_;
     for (store::Event& event : update.events) {
       event.era = era_;
@@ -133,10 +133,10 @@
   }
   auto error = base::MakeError(
       ErrorCode::kUnavailable, Step::kWatchStore, peer,
-      "it knows the store of era " + std::to_string(update.position.era) +
-          ", now it is in era " + std::to_string(era_));
+      "the peer is in era " + std::to_string(update.position.era) +
+          " of the store, the current one is " + std::to_string(era_));
   selector_.DidBecomeStale(peer);
-  log_.DidFail(error, "looking for later news");
+  log_.DidFail(error, "looking for a source in the current era");
   return error;
 }
 
@@ -153,15 +153,16 @@
   if (current_source_ == kStore) {
     return "the store";
   }
-  return current_source_ == kStaleStore ? "the store, perhaps old"
+  return current_source_ == kStaleStore ? "the store (stale read)"
                                         : current_source_;
 }
 
 void UpdateReader::DidFail(const std::string& source,
                            const base::Error& error) {
   selector_.DidFail(source);
-  log_.DidFail(error, source == kStore ? "no news from the store"
-                                       : "no news from a peer");
+  log_.DidFail(error, source == kStore
+                          ? "cannot read from the store"
+                          : "cannot read store updates from a peer");
 }
 
 std::optional<base::Error> UpdateReader::CheckUpdate(
@@ -169,18 +170,19 @@
     const StoreUpdate& update) {
   if (!update.is_direct && !selector_.is_in_own_domain(source) &&
       last_store_contact_) {
-    auto error = base::MakeError(ErrorCode::kUnavailable, Step::kWatchStore,
-                                 source, "it does not read the store itself");
+    auto error =
+        base::MakeError(ErrorCode::kUnavailable, Step::kWatchStore, source,
+                        "the peer does not read the store itself");
     DidFail(source, error);
     return error;
   }
   if (update.age > kMaxUpdateAge) {
     auto error = base::MakeError(ErrorCode::kTimeout, Step::kWatchStore, source,
-                                 "its news are " +
+                                 "the peer's store data are " +
                                      std::to_string(update.age.count() / 1000) +
                                      " ms old");
     selector_.DidBecomeStale(source);
-    log_.DidFail(error, "looking for younger news");
+    log_.DidFail(error, "looking for a source with fresher data");
     return error;
   }
   selector_.DidAnswer(source);
@@ -242,8 +244,9 @@
            self->DidFail(kStore, page.error());
          } else if (is_stale) {
            self->current_source_ = kStaleStore;
-           // NOTE: the store's own revision may be ahead of a page that is old,
-           // and what came in between would be taken for known or removed.
+           // NOTE: the store's revision may be ahead of the items of a stale
+           // read. Changes in between would otherwise be taken as already
+           // known, or new keys as removed.
            page.value().revision = LatestRevision(page.value().items);
            page.value().cursor = page.value().revision;
            self->resume_position_.DidReadStore(page.value().position());
@@ -304,7 +307,7 @@
   if (source == kStore) {
     control_.Post([done, source] {
       done(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, source,
-                           "reading the store itself"));
+                           "switching to the store itself"));
     });
     return;
   }
@@ -327,11 +330,12 @@
                              done](const std::string& why) {
     self->next_source_ = peer;
     done(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, peer,
-                         "reading the store from another place: " + why));
+                         "listing all keys from another source: " + why));
   };
   const auto position = resume_position_.At(clock_.Now());
   if (!position) {
-    control_.Post([list_instead] { list_instead("no position is safe"); });
+    control_.Post(
+        [list_instead] { list_instead("no position to resume from"); });
     return;
   }
   fetch_from_peer_(
@@ -344,7 +348,7 @@
           self->DidSwitchTo(peer, std::move(update.value()), done);
           return;
         }
-        // The peer knows too little, or it is of an earlier version.
+        // The peer's history is too short, or it runs an earlier version.
         const auto& code = update.error().code;
         if (code == ErrorCode::kExpired || code == ErrorCode::kNotFound) {
           list_instead(update.error().ToString());
@@ -386,7 +390,7 @@
                             !self->CheckUpdate(peer, update.value()));
                        return;
                      }
-                     // A peer of an earlier version does not know the question.
+                     // Peers of an earlier version do not support this request.
                      const bool is_unknown =
                          update.error().code == ErrorCode::kNotFound;
                      if (!is_unknown) {
@@ -430,7 +434,7 @@
                selector_.store_failures() == 0 ? wait : kProbeWatchWait,
                [self = shared_from_this(),
                 pending](base::Result<store::Changes> changes) {
-                 // Empty if the watch was given up meanwhile.
+                 // Empty if the watch was aborted meanwhile.
                  if (const auto callback = std::exchange(*pending, nullptr)) {
                    self->DidWatchStore(changes);
                    callback(std::move(changes));
--- a/src/relay/update_reader.h
+++ b/src/relay/update_reader.h
@@ -1,24 +1,25 @@
-// Reads the store for the follower from the best place (SourceSelector): the
-// store itself, or a peer that follows it.
+// The event source of the store follower. Reads from the best source at the
+// time (SourceSelector): the store itself, or a peer that follows it.
 //
 // Steps:
-//   1. The first reading of all comes from the store, and may be seconds old:
-//      it costs a tenth, and is enough to serve callers and to learn whom to
-//      follow. If it names nobody, as at the first start of a fleet, there is
-//      another such reading once the stronger daemons have registered.
-//   2. Everything is read from the best place, and changes from there on.
-//   3. When another place looks better, it is asked first how old its news are.
-//      Only if they are young, news go on from there: a peer tells what changed
-//      since the position up to which nothing is missing here, so that a change
-//      of place or a restart costs the changes of some seconds and not
-//      everything. Everything is read anew if the peer does not know that much.
+//   1. The first list after the start is a stale read of the store, which may
+//      be seconds old but costs a tenth. It is enough to serve callers and to
+//      learn which peers exist. If it names no peers, as at the first start of
+//      a fleet, a second stale read follows once the stronger daemons have had
+//      time to register.
+//   2. All keys are listed from the best source, and changes are watched there.
+//   3. When another source looks better, its freshness is probed first. If it
+//      is fresh enough, reading resumes there from the last position up to
+//      which no change is missing, so that a switch or a restart transfers only
+//      the changes of a few seconds. If the peer's history does not reach back
+//      that far, all keys are listed again.
 //
-// The store may be restored from a copy and is then in a later era
-// (store::Position). Any answer of the store or of a peer may tell so first;
-// the reading of the store begins anew at once, and a peer that is still in an
-// earlier era is no place to read from.
+// The store may be restored from a backup and is then in a later era
+// (store::Position). Any response of the store or of a peer may be the first to
+// show this. Reading from the store then starts over at once, and a peer that
+// is still in an earlier era is not used.
 //
-// Invariant: the era of what is passed on never goes back.
+// Invariant: the era of the events that are passed on never decreases.
 
 #ifndef MEDLARSPREAD_RELAY_UPDATE_READER_H_
 #define MEDLARSPREAD_RELAY_UPDATE_READER_H_
@@ -43,8 +44,9 @@
 
 struct UpdateReaderSettings {
   SourceSelectorSettings sources;
-  // How long after its start a daemon that knows no others waits for them to
-  // register before it reads the store itself; strong ones come first.
+  // How long after its start a daemon that knows no peers waits for them to
+  // register before it lists the store itself. Stronger daemons use shorter
+  // waits.
   base::Duration registration_wait{};
 };
 
@@ -60,25 +62,26 @@
                std::function<void()> did_restore_store,
                base::Log log);
 
-  // `list` and `watch` go to the best place; the rest to the store.
+  // `list` and `watch` use the best source; all other calls go to the store.
   store::EventSource source();
   // Whether this daemon reads the store for its failure domain.
   bool is_reader() const { return selector_.is_reader(); }
-  // Whether this daemon takes its news from the store. Then it should renew its
-  // lease often, so that DidRenew() and DidFailToRenew() tell how the store is.
+  // Whether this daemon currently reads from the store. If so, it should renew
+  // its lease often, because DidRenew() and DidFailToRenew() show whether the
+  // store is reachable.
   bool is_reading_store() const { return current_source_ == kStore; }
-  // A lease was renewed, which shows that the store answers. It says nothing of
-  // the news while they come from somewhere else.
+  // A lease renewal succeeded, so the store is reachable. This is ignored while
+  // updates come from a peer, whose age is independent of the renewal.
   void DidRenew();
-  // The store did not answer a renewal. A watch that waits may have been lost
-  // with it, and would be silent also after the store's return: it is given up.
+  // A lease renewal got no answer. The pending watch may be lost too, and would
+  // stay silent even after the store is back, so it is aborted.
   void DidFailToRenew(const base::Error& error);
-  // The store named its era in an answer to any call.
+  // A response of the store to any call named this era.
   void DidSeeEra(std::int64_t era);
-  // Absent if no place has answered yet.
+  // Absent until a source has answered.
   std::optional<Freshness> freshness() const;
-  // Where the last reading came from, for logs: "the store", "the store,
-  // perhaps old", or the address of a peer.
+  // The source of the last list, for logs: "the store", "the store (stale
+  // read)", or the address of a peer.
   std::string DescribeSource() const;
 
  private:
@@ -87,34 +90,37 @@
 
   void DidReachStore();
   void DidFail(const std::string& source, const base::Error& error);
-  // Ends the watch of the store that waits, if one does.
+  // Ends the pending watch of the store with the error, if there is one.
   void AbortWatch(const base::Error& error);
-  // Why news of the peer are of no use, if they are not: it has not heard yet
-  // that the store was restored. Notes which era the peer is in.
+  // Returns an error if the peer is still in an earlier era, that is, has not
+  // noticed yet that the store was restored. Also records the era that the peer
+  // names, and fills it in for peers that name none.
   std::optional<base::Error> CheckEra(const std::string& peer,
                                       StoreUpdate& update);
-  // Why news from the place are not taken, if they are not; notes it.
+  // Returns an error if the update is stale, or comes from a peer of another
+  // failure domain that does not read the store itself. Reports the result to
+  // the selector.
   std::optional<base::Error> CheckUpdate(const std::string& source,
                                          const StoreUpdate& update);
   void List(const std::string& prefix,
             const std::string& after,
             ListCallback done);
-  // Reads from `list_source_`, which is the store.
+  // Lists from the store; `list_source_` says whether by a stale read.
   void ListStore(const std::string& prefix,
                  const std::string& after,
                  ListCallback done);
-  // How long to wait before a reading that may be old; absent if it must not
-  // be.
+  // How long to wait before the next list, if that is to be a stale read of the
+  // store; absent if it must be a current one.
   std::optional<base::Duration> StaleReadDelay() const;
   void ListPeer(const std::string& peer, ListCallback done);
   void Watch(const std::string& prefix,
              std::int64_t cursor,
              base::Duration wait,
              WatchCallback done);
-  // Asks the peer how old its news are before it is read from.
+  // Asks the peer how old its data are before reading from it.
   void ProbeFreshness(const std::string& peer,
                       std::function<void(bool should_read)> done);
-  // Goes on with what the peer knows beyond `resume_position_`.
+  // Resumes from `resume_position_` at the peer.
   void SwitchTo(const std::string& peer, WatchCallback done);
   void DidSwitchTo(const std::string& peer,
                    StoreUpdate update,
@@ -136,29 +142,30 @@
   const base::TaskRunner control_;
   const store::EventSource store_;
   const FetchFromPeer fetch_from_peer_;
-  // Told when the store was found to be in a later era than before.
+  // Called when the store turns out to be in a later era than before.
   const std::function<void()> did_restore_store_;
   const base::Log log_;
   const base::MonotonicTime start_time_;
   SourceSelector selector_;
-  // The watch of the store that waits, until its first end.
+  // The callback of the pending watch of the store; reset when the watch ends
+  // for the first time.
   std::shared_ptr<WatchCallback> pending_watch_;
-  // Before this time the store is not watched again.
+  // The store is not watched again before this time.
   base::MonotonicTime watch_pause_until_;
-  // Where the last reading came from; kStaleStore after the first.
+  // The source of the last list or watch; kStaleStore after a stale read.
   std::string current_source_;
-  // Where the reading that is under way comes from.
+  // The source of the list in progress.
   std::string list_source_;
-  // Set once a place was found to be worth reading from.
+  // The source for the next list, if a switch has chosen one.
   std::optional<std::string> next_source_;
   ResumePosition resume_position_;
-  // The latest that the store or a peer has named; zero if none has.
+  // The latest era that the store or a peer has named; zero if none has.
   std::int64_t era_ = 0;
-  // Whether anything was read yet.
+  // Whether a list has succeeded yet.
   bool has_read_ = false;
-  // Whether the second reading that may be old was made.
+  // Whether the second stale read was started.
   bool has_reread_stale_ = false;
-  // When the store answered, as far as this daemon knows.
+  // When the store last answered, as far as this daemon knows.
   std::optional<base::MonotonicTime> last_store_contact_;
 };
 
--- a/src/relay/update_server.cc
+++ b/src/relay/update_server.cc
@@ -1,4 +1,4 @@
-// Requests that wait for news.
+// Parses requests for updates and holds those that wait for changes.
 
 #include "src/relay/update_server.h"
 
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kHttpVersion = 11;
-// Ages are told in whole ones.
+// Ages are sent in whole milliseconds.
 constexpr base::Duration kAgeResolution = base::Milliseconds(1);
 
 http1::Response MakeResponse(http1::Status status, std::string body) {
@@ -34,7 +34,8 @@
   return number;
 }
 
-// The number behind the prefix, if the target is one of that kind.
+// The number after the prefix, or nothing if the target does not begin with the
+// prefix.
 std::optional<std::int64_t> ParseNumber(std::string_view target,
                                         std::string_view prefix) {
   if (!target.starts_with(prefix)) {
@@ -125,7 +126,8 @@
 base::Duration UpdateServer::MaxWait() const {
   const base::Duration fresh_for =
       kMaxUpdateAge + kAgeResolution - freshness_().value_or(Freshness{}).age;
-  // NOTE: who asks although they are old already has found nobody better.
+  // NOTE: a follower that asks although the data are stale already has found no
+  // better source, so the full wait applies.
   return fresh_for > base::Duration{} ? std::min(kLongPollWait, fresh_for)
                                       : kLongPollWait;
 }
@@ -153,7 +155,7 @@
 
 http1::Response UpdateServer::RenderSinceRevision(std::int64_t revision) const {
   const store::Position& known = log_.position();
-  // A higher one is of an era before this one.
+  // A revision above the current one belongs to an earlier era.
   if (revision > known.revision) {
     return RenderOrGone(std::nullopt);
   }
--- a/src/relay/update_server.h
+++ b/src/relay/update_server.h
@@ -1,8 +1,13 @@
-// Answers daemons that ask this one for news of the store.
+// Serves store updates to other daemons over HTTP.
 //
-// A request names the cursor that it has read up to. It is answered when there
-// is something newer, or after a short wait with nothing; sooner, if the news
-// here become too old meanwhile, so that who asks looks elsewhere at once.
+// A request names the cursor up to which the follower has read. The server
+// answers at once if it has newer changes, and otherwise holds the request
+// until a change comes or a short wait has passed. The wait ends early if this
+// daemon's own data become stale, so that the follower can switch to another
+// source at once.
+//
+// The paths and headers say "news" for updates, since they are part of the
+// protocol.
 
 #ifndef MEDLARSPREAD_RELAY_UPDATE_SERVER_H_
 #define MEDLARSPREAD_RELAY_UPDATE_SERVER_H_
@@ -21,24 +26,25 @@
 
 namespace medlarspread::relay {
 
-// Where news are asked for. Without a cursor all keys are meant.
+// Returns all keys.
 constexpr const char* kNewsTarget = "/news";
+// Returns the changes after a cursor of this server's event log.
 constexpr const char* kCursorPrefix = "/news?cursor=";
-// Where is asked for what has changed since a position of the store: the era, a
-// dot and the revision.
+// Returns the changes since a position of the store, written as the era, a dot
+// and the revision.
 constexpr const char* kPositionPrefix = "/news?position=";
-// Where daemons of an earlier version ask the same; they know no eras.
+// The same for daemons of an earlier version, which do not know eras.
 constexpr const char* kRevisionPrefix = "/news?revision=";
-// Where is asked how old the news are; the answer holds none.
+// Returns how old this daemon's data are, without any keys.
 constexpr const char* kFreshnessTarget = "/freshness";
 
-// The field of a request for news in which the asker says who it is. A daemon
-// that does not know it leaves it out of account.
+// The request header in which a follower describes itself. Daemons of earlier
+// versions ignore it.
 constexpr const char* kFollowerHeader = "Follower";
 
-// How close this daemon is to the store.
+// How current this daemon's copy of the store is.
 struct Freshness {
-  // Since the store last answered the first daemon of the chain.
+  // Time since the store last answered the first daemon of the relay chain.
   base::Duration age{};
   // Whether this daemon reads the store itself.
   bool is_direct = false;
@@ -47,16 +53,16 @@
 // Runs on the control thread.
 class UpdateServer : public std::enable_shared_from_this<UpdateServer> {
  public:
-  // `freshness` is absent while this daemon has not read anything yet.
-  // `did_see_follower` is told what daemons that follow this one say of
-  // themselves; who asks once does not follow yet.
+  // `freshness` returns nothing until this daemon has read the store or a peer.
+  // `did_see_follower` receives the header of each request with a cursor; a
+  // daemon that lists all keys or asks once does not count as a follower yet.
   UpdateServer(const store::EventLog& log,
                base::TaskRunner control,
                std::function<std::optional<Freshness>()> freshness,
                std::function<void(const std::string&)> did_see_follower);
 
   http1::Abandon Handle(const http1::Request& request, http1::Respond respond);
-  // The log has grown.
+  // Answers the pending requests after changes were appended to the log.
   void DidAppend();
 
  private:
@@ -65,12 +71,12 @@
     http1::Respond respond;
   };
 
-  // How long a request may wait.
+  // How long a request that arrives now may be held.
   base::Duration MaxWait() const;
   http1::Response RenderChanges(std::int64_t cursor) const;
-  // For daemons that know no eras.
+  // For daemons of an earlier version, which do not know eras.
   http1::Response RenderSinceRevision(std::int64_t revision) const;
-  // The changes, or that they are not all known.
+  // Returns the changes, or status 410 if the log no longer has all of them.
   http1::Response RenderOrGone(
       std::optional<std::vector<store::Event>> changes) const;
   http1::Response Render(std::vector<store::Event> events) const;
--- a/tests/relay/relay_test.cc
+++ b/tests/relay/relay_test.cc
@@ -1,4 +1,5 @@
-// News from daemon to daemon, and from where a daemon takes them.
+// Tests how store updates pass between daemons, and from which source a daemon
+// reads them.
 
 #include "src/relay/update_reader.h"
 
@@ -43,8 +44,8 @@
   }
 }
 
-// Two daemons of one failure domain on one thread: `other` reads the store, and
-// the source under test may ask it.
+// Two daemons of one failure domain on one thread: the other one reads the
+// store, and the UpdateReader under test may read from it.
 class UpdateReaderTest : public testing::Test {
  protected:
   void SetUp() override {
@@ -86,14 +87,15 @@
         blackboard_, [this] { ++restores_; }, base::Log());
   }
 
-  // Makes the other daemon a member of the domain; the rank decides who reads.
+  // Adds the other daemon to the membership; its rank decides whether it is the
+  // store reader.
   void AddMembers(const std::string& other_domain) {
     blackboard::MembershipView view;
     view.self = "self";
     const std::string address =
         "127.0.0.1:" + std::to_string(listener_->port());
     view.members["self"].failure_domain = "n1";
-    // Names are tried until one goes before "self".
+    // Tries names until one ranks before "self".
     for (int number = 0; number < 100; ++number) {
       view.members.erase("other" + std::to_string(number - 1));
       blackboard::Member& member =
@@ -126,7 +128,7 @@
     return *changes;
   }
 
-  // Begins a watch that waits at the store; `changes` is set at its end.
+  // Starts a watch that is pending at the store; `changes` is set when it ends.
   void StartStoreWatch(std::optional<base::Result<store::Changes>>& changes) {
     source_->source().watch("", 7, Milliseconds(5'000),
                             [&changes](base::Result<store::Changes> result) {
@@ -158,9 +160,9 @@
   base::Duration store_wait_{};
   int asked_ = 0;
   int store_calls_ = 0;
-  // How often the source has said that the store was restored.
+  // How often the UpdateReader has reported a restore of the store.
   int restores_ = 0;
-  // What askers said of themselves.
+  // The descriptions that followers sent.
   std::vector<std::string> heard_;
 };
 
@@ -178,7 +180,7 @@
   ASSERT_TRUE(page.is_ok());
   EXPECT_EQ(page.value().items.size(), 1U);
   EXPECT_EQ(store_calls_, 0);
-  // A change reaches a request that waits.
+  // A change answers the pending request.
   runner_.After(Milliseconds(20), [this] {
     log_.Append({{"b", "1", 6}});
     server_->DidAppend();
@@ -193,7 +195,8 @@
   AddMembers("n1");
   const auto page = List();
   ASSERT_TRUE(page.is_ok());
-  // Who asks once does not follow yet: in an outage all ask all.
+  // A daemon that lists once is not a follower yet: during an outage every
+  // daemon tries every other.
   EXPECT_EQ(heard_, std::vector<std::string>{});
   (void)Watch(page.value().cursor);
   EXPECT_EQ(heard_, std::vector<std::string>{"self n1 10.0.0.1:80"});
@@ -225,8 +228,8 @@
   EXPECT_TRUE(changes.value().events.empty());
 }
 
-// Guards against a follower that waits for news of a reader that has lost the
-// store, although they have become too old.
+// Guards against a follower that keeps waiting for updates of a peer that has
+// lost the store, although the peer's data have become stale.
 TEST_F(UpdateReaderTest, LongPollEndsWhenUpdatesBecomeStale) {
   AddMembers("n1");
   const auto page = List();
@@ -256,7 +259,8 @@
   EXPECT_EQ(store_calls_, 1);
 }
 
-// The first reading may be old: it serves until it is known whom to follow.
+// The first list may be stale: it only has to serve until it is known which
+// peer to follow.
 TEST_F(UpdateReaderTest, FirstListIsStale) {
   int stale_lists = 0;
   store_.list_stale = [this, &stale_lists](
@@ -269,19 +273,20 @@
   ASSERT_TRUE(List().is_ok());
   EXPECT_EQ(stale_lists, 1);
   EXPECT_EQ(store_calls_, 0);
-  // Nobody is to follow what may be old, and nothing goes on from it.
+  // A stale read must not be offered to followers, nor continued by a watch.
   EXPECT_FALSE(source_->freshness().has_value());
   AddMembers("n1");
   EXPECT_EQ(Watch(7).error().code, ErrorCode::kExpired);
   EXPECT_TRUE(List().is_ok());
-  // What has changed, which it does not know, and then everything.
+  // The request for the changes, which the peer cannot answer, and then for all
+  // keys.
   EXPECT_EQ(asked_, 2);
   EXPECT_EQ(store_calls_, 0);
   EXPECT_TRUE(source_->freshness().has_value());
 }
 
-// At the first start of a fleet nobody is known yet: the weak wait for the
-// strong, so that a hundred of them don't all read for themselves.
+// At the first start of a fleet no peers are known: weak daemons wait for
+// strong ones to register, so that a hundred of them do not all list the store.
 TEST_F(UpdateReaderTest, WaitsForRegistrationsWhenNoPeersAreKnown) {
   int stale_lists = 0;
   store_.list_stale = [this, &stale_lists](
@@ -299,7 +304,7 @@
             std::chrono::milliseconds(55));
   EXPECT_EQ(stale_lists, 2);
   EXPECT_EQ(store_calls_, 0);
-  // Somebody has registered meanwhile, and is followed.
+  // A peer has registered meanwhile and is followed.
   AddMembers("n1");
   EXPECT_EQ(Watch(7).error().code, ErrorCode::kExpired);
   ASSERT_TRUE(List().is_ok());
@@ -307,7 +312,8 @@
   EXPECT_EQ(store_calls_, 0);
 }
 
-// While the store turns calls away at the start, nothing is waited for.
+// If the store rejects the first call, the retry does not wait for
+// registrations.
 TEST_F(UpdateReaderTest, FailedStaleListIsRetriedAtOnce) {
   int stale_lists = 0;
   store_.list_stale = [this, &stale_lists](
@@ -325,7 +331,7 @@
   EXPECT_EQ(stale_lists, 2);
 }
 
-// After a restart the changes of some seconds are asked for, not everything.
+// After a restart only the changes of some seconds are requested, not all keys.
 TEST_F(UpdateReaderTest, ResumesFromTheRevisionOfTheStaleList) {
   store_page_ = store::Page{{{"a", "1", 5}, {"b", "1", 7}}, true, 9, 9};
   store_.list_stale = [this](
@@ -336,7 +342,7 @@
   MakeSource();
   const auto page = List();
   ASSERT_TRUE(page.is_ok());
-  // The store's own revision may be ahead of a page that is old.
+  // The store's revision may be ahead of a stale page.
   EXPECT_EQ(page.value().revision, 7);
   AddMembers("n1");
   log_.DidList({0, 6});
@@ -347,7 +353,7 @@
   EXPECT_EQ(changes.value().events,
             (std::vector<store::Event>{{"a", std::nullopt, 8}, {"c", "1", 9}}));
   EXPECT_EQ(store_calls_, 0);
-  // From there it goes on by the peer's cursor.
+  // Further changes are read by the peer's cursor.
   log_.Append({{"d", "1", 10}});
   server_->DidAppend();
   const auto more = Watch(changes.value().cursor);
@@ -389,12 +395,12 @@
   EXPECT_TRUE(source_->freshness()->is_direct);
 }
 
-// While the store is away for everybody, its reader's news are as young as any:
-// nothing is read anew, from nobody.
+// During a store outage the store reader's data are as fresh as any, so nothing
+// is listed again.
 TEST_F(UpdateReaderTest, KeepsItsReaderWhileNoSourceIsFresher) {
   AddMembers("n1");
   blackboard::MembershipView view = *blackboard_.membership.Read();
-  // So many that this daemon does not ask the store itself.
+  // Enough members that this daemon does not use the store itself.
   for (int number = 200; number < 240; ++number) {
     const std::string name = "more" + std::to_string(number);
     view.members[name] = view.members.begin()->second;
@@ -428,7 +434,7 @@
   EXPECT_FALSE(List().is_ok());
   EXPECT_FALSE(List().is_ok());
   EXPECT_EQ(asked_, 0);
-  // After two failures the reader of the other domain is asked.
+  // After two failures the store reader of the other domain is used.
   EXPECT_TRUE(List().is_ok());
   EXPECT_EQ(asked_, 1);
   EXPECT_FALSE(source_->freshness()->is_direct);
@@ -444,7 +450,7 @@
   freshness_ = Freshness{{}, false};
   const auto page = List();
   (void)Watch(page.is_ok() ? page.value().cursor : 0);
-  // It is left alone from then on, and the store is what is asked.
+  // It is skipped from then on, and the store is used.
   const int asked = asked_;
   (void)List();
   EXPECT_EQ(asked_, asked);
@@ -473,10 +479,10 @@
   ASSERT_TRUE(changes.has_value());
   EXPECT_EQ(changes->error().code, ErrorCode::kTimeout);
   EXPECT_FALSE(source_->freshness()->is_direct);
-  // The next watch is short: it too may be sent into the silence.
+  // The next watch is short, because the store may still be silent.
   watch();
   EXPECT_LE(store_wait_, Milliseconds(200));
-  // What the lost one ends with is not taken for the end of this one.
+  // A late result of the lost watch must not end this one.
   lost(store::Changes{{}, 7});
   EXPECT_FALSE(changes.has_value());
   std::exchange(store_watch_, nullptr)(store::Changes{{}, 7});
@@ -484,8 +490,9 @@
   EXPECT_TRUE(source_->freshness()->is_direct);
 }
 
-// Guards against a watch that goes on in the restored store, which knows its
-// cursor again: what was written between the copy and there would be missed.
+// Guards against continuing a watch in the restored store, where its cursor
+// stands for another change: whatever was written between the backup and that
+// revision would be missed.
 TEST_F(UpdateReaderTest, WatchAnsweredInALaterEraExpires) {
   store_page_ = store::Page{{}, true, 7, 7, 1};
   (void)List();
@@ -498,8 +505,8 @@
   EXPECT_EQ(changes->error().code, ErrorCode::kExpired);
 }
 
-// Guards against a daemon that waits for its watch's end although another call
-// was answered by the restored store.
+// Guards against a daemon that keeps waiting for its watch although another
+// call has shown that the store was restored.
 TEST_F(UpdateReaderTest, LaterEraInAnyAnswerAbortsThePendingWatch) {
   store_page_ = store::Page{{}, true, 7, 7, 1};
   (void)List();
@@ -527,8 +534,7 @@
   EXPECT_EQ(page->error().code, ErrorCode::kExpired);
 }
 
-// What a peer has told in the earlier era is gone on with in the later one: its
-// cursor counts its own changes.
+// A peer's cursor counts the peer's own changes, so it stays valid across eras.
 TEST_F(UpdateReaderTest, PeerForwardsALaterEra) {
   AddMembers("n1");
   log_.Append({{"a", "1", 90, 1}});
@@ -543,8 +549,8 @@
   EXPECT_EQ(restores_, 1);
 }
 
-// Guards against news of the time before a restore, from a daemon that has not
-// heard of it yet.
+// Guards against updates from before a restore, sent by a daemon that has not
+// noticed the restore yet.
 TEST_F(UpdateReaderTest, PeerInAnEarlierEraIsNotUsed) {
   AddMembers("n1");
   log_.Append({{"a", "1", 90, 1}});
@@ -554,14 +560,15 @@
   const auto changes = Watch(page.value().cursor);
   ASSERT_FALSE(changes.is_ok());
   EXPECT_EQ(changes.error().code, ErrorCode::kExpired);
-  // The store is asked instead.
+  // The store is used instead.
   store_page_ = store::Page{{{"a", "2", 40, 2}}, true, 50, 50, 2};
   const auto again = List();
   ASSERT_TRUE(again.is_ok());
   EXPECT_EQ(store_calls_, 1);
 }
 
-// Daemons of an earlier version pass no era on; their news count as of now.
+// Daemons of an earlier version send no era; their updates are taken as of the
+// current one.
 TEST_F(UpdateReaderTest, UpdatesWithoutAnEraTakeTheKnownOne) {
   AddMembers("n1");
   source_->DidSeeEra(3);
@@ -571,7 +578,7 @@
   EXPECT_EQ(page.value().items, (std::vector<store::Event>{{"a", "1", 90, 3}}));
 }
 
-// Daemons of an earlier version ask for the changes since a revision.
+// Daemons of an earlier version request the changes since a revision.
 TEST_F(UpdateReaderTest, RevisionAboveTheKnownOneIsGone) {
   log_.DidList({2, 30});
   log_.Append({{"a", "1", 40, 2}});
--- a/tests/relay/resume_position_test.cc
+++ b/tests/relay/resume_position_test.cc
@@ -1,4 +1,5 @@
-// ResumePosition: what the store told counts at once, what peers told later.
+// Tests ResumePosition: positions from the store count at once, those from
+// peers later.
 
 #include "src/relay/resume_position.h"
 
@@ -18,7 +19,8 @@
   EXPECT_EQ(safe.At({0}), (Position{1, 7}));
 }
 
-// A removal that a peer holds back has a lower revision than what it told.
+// A removal that a peer delays has a lower revision than the position that the
+// peer has already sent.
 TEST(ResumePositionTest, PeerPositionsCountAfterTheRemovalDelay) {
   constexpr base::MonotonicTime kStart{1'000'000};
   ResumePosition safe;
@@ -30,7 +32,7 @@
   EXPECT_EQ(safe.At(kStart + base::Milliseconds(9'900)), (Position{1, 30}));
 }
 
-// Guards against revisions that are compared across a restore of the store.
+// Guards against comparing revisions across a restore of the store.
 TEST(ResumePositionTest, ALaterEraSupersedesHigherRevisions) {
   ResumePosition safe;
   safe.DidReadStore({1, 90});
--- a/tests/relay/source_selector_test.cc
+++ b/tests/relay/source_selector_test.cc
@@ -1,4 +1,4 @@
-// Where news are taken from while daemons and the store come and go.
+// Tests which source is selected while daemons and the store fail and return.
 
 #include "src/relay/source_selector.h"
 
@@ -47,7 +47,7 @@
       std::make_shared<base::ManualTime>(1'000'000, 0);
   blackboard::Blackboard blackboard_;
   blackboard::MembershipView view_;
-  // The strong daemons of n1, the reader first.
+  // The strong daemons of n1 in rank order; the first is the store reader.
   std::vector<std::string> ranked_;
 };
 
@@ -74,13 +74,14 @@
   EXPECT_EQ(choice.Choose(ranked_[0]), ranked_[1]);
   choice.DidFail(ranked_[1]);
   EXPECT_EQ(choice.Choose(ranked_[0]), "other");
-  // Somebody who restarts is back soon.
+  // A daemon that restarts is back soon.
   time_->Advance(Milliseconds(600));
   EXPECT_EQ(choice.Choose("other"), ranked_[0]);
 }
 
-// The load of an outage: each of hundreds of followers that turned to the store
-// asked it once a second, some thousand calls in six seconds.
+// Guards against load on the store during an outage: when hundreds of followers
+// turned to it, each called it once a second, which made about a thousand calls
+// in six seconds.
 TEST_F(SourceSelectorTest, FollowersDoNotQueryTheStoreDuringAnOutage) {
   SourceSelector choice = Make("weak7");
   std::string current = ranked_[0];
@@ -88,7 +89,7 @@
     const std::string source = choice.Choose(current);
     ASSERT_NE(source, kStore) << "after " << step;
     if (source == "other") {
-      // It reads the store itself, and fails to.
+      // It reads the store itself, which is unavailable.
       choice.DidFail(source);
     } else {
       choice.DidBecomeStale(source);
@@ -100,7 +101,7 @@
 
 TEST_F(SourceSelectorTest, FollowerFallsBackToTheStoreWhenNoPeerAnswers) {
   SourceSelector choice = Make("weak7");
-  // All that restart at once are back within a moment.
+  // Daemons that restart together are back within two seconds.
   for (int step = 0; step < 19; ++step) {
     const std::string source = choice.Choose("");
     ASSERT_NE(source, kStore) << "after " << step;
@@ -133,7 +134,7 @@
       }
       time_->Advance(Milliseconds(100));
     }
-    // In ten seconds, with pauses that double up to four.
+    // Within ten seconds, with a backoff that doubles up to four seconds.
     EXPECT_GE(asked_store, 3) << name;
   }
 }
--- a/tests/relay/update_fleet_test.cc
+++ b/tests/relay/update_fleet_test.cc
@@ -1,6 +1,7 @@
-// How long after the store took a change the last daemon of a fleet has it, in
-// virtual time and without a network: the production classes decide, only the
-// store and the way between the daemons are modelled.
+// Measures the time from the store's acknowledgement of a change until the last
+// daemon of a fleet has it. Runs in virtual time and without a network: the
+// production classes make the decisions, and only the store and the connections
+// between daemons are simulated.
 
 #include <algorithm>
 #include <map>
@@ -34,26 +35,27 @@
 
 struct FleetSize {
   int daemons = 0;
-  // The first ones of each domain; the others have an eighth of a core.
+  // The first daemons of each domain are strong; the others have an eighth of a
+  // core.
   int strong_in_domain = 0;
 };
 
 class Fleet;
 
-// One daemon as far as it follows the store.
+// The parts of a daemon that follow the store.
 class FleetDaemon {
  public:
   FleetDaemon(Fleet& fleet, std::string name, std::uint64_t seed);
 
   void Start();
-  // From then on it neither asks nor answers.
+  // From then on it neither sends requests nor answers them.
   void Kill();
   void Handle(const http1::Request& request, http1::Respond respond);
   bool is_alive() const { return is_alive_; }
-  // While cut off, it does not reach the store.
+  // While cut off, it cannot reach the store.
   void set_cut_off(bool is_cut_off) { is_cut_off_ = is_cut_off; }
   bool is_reader() const { return source_->is_reader(); }
-  // The highest version so far.
+  // The highest version received so far.
   int version() const { return version_; }
   std::string domain() const;
 
@@ -109,12 +111,12 @@
   void Advance(base::Duration time_to_pass) {
     scheduler->Advance(time_to_pass);
   }
-  // Up to `most`, by chance.
+  // A random duration below `most`.
   base::Duration Chance(base::Duration most) {
     return base::Duration(static_cast<std::int64_t>(
         random.Below(static_cast<std::uint64_t>(most.count()))));
   }
-  // A daemon that reads the store for its failure domain.
+  // The first daemon that reads the store for its failure domain.
   FleetDaemon& FirstReader() {
     return *std::find_if(daemons.begin(), daemons.end(), [](const auto& row) {
               return row.second->is_reader();
@@ -133,8 +135,8 @@
                                 daemon.version() >= version;
                        });
   }
-  // From now until the last daemon has the newest version; kNever if it takes
-  // much longer than the bound.
+  // Returns the time from now until the last daemon has the newest version;
+  // kNever if that takes much longer than the bound.
   base::Duration AwaitInForce() { return AwaitInForceAt(nullptr); }
   base::Duration AwaitInForceButFor(const FleetDaemon& left_out) {
     return AwaitInForceAt(&left_out);
@@ -165,7 +167,7 @@
     return passed;
   }
 
-  // Leaves write all the time.
+  // Simulates the steady writes of leaves.
   void Beat() {
     store.Write("servers/" + std::to_string(random.Below(10)),
                 random.Below(20) == 0 ? "draining" : "ready");
@@ -278,7 +280,7 @@
                            peer, ""));
   });
   fleet_.runner.After(way, [this, &other, target, peer, way, finish] {
-    // One that is gone is silent, as a VM without power is.
+    // A killed daemon never answers, like a VM without power.
     if (!other.is_alive()) {
       return;
     }
@@ -292,8 +294,8 @@
   });
 }
 
-// A trouble, and the change that falls into it or after it. Returns when the
-// last daemon has the change, from when the store took it.
+// Causes a fault and makes a change during it or after it. Returns the time
+// from the store's acknowledgement until the last daemon has the change.
 using Case = base::Duration (*)(Fleet&);
 
 base::Duration Calm(Fleet& fleet) {
@@ -302,8 +304,8 @@
   return fleet.AwaitInForce();
 }
 
-// The store comes back from a copy; operators write again what was lost and
-// change the routes within two seconds.
+// The store is restored from a backup. Operators write the lost change again
+// and change the routes within two seconds.
 base::Duration Restored(Fleet& fleet) {
   fleet.store.TakeCopy();
   fleet.Advance(Milliseconds(100) + fleet.Chance(Milliseconds(10'000)));
@@ -322,8 +324,8 @@
   return fleet.AwaitInForce();
 }
 
-// The store comes back within a moment, and the changes go on: no watch of the
-// earlier era is turned away.
+// The store is restored without an outage while changes go on, so that no watch
+// of the earlier era is rejected.
 base::Duration RestoredInAMoment(Fleet& fleet) {
   fleet.store.TakeCopy();
   fleet.Advance(Milliseconds(100) + fleet.Chance(Milliseconds(1'500)));
@@ -333,7 +335,7 @@
   return fleet.AwaitInForce();
 }
 
-// A reader of the store loses power at the moment of the change.
+// A store reader loses power at the moment of the change.
 base::Duration ReaderKilled(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'500)));
   FleetDaemon& reader = fleet.FirstReader();
@@ -343,7 +345,7 @@
   return fleet.AwaitInForce();
 }
 
-// The store falls silent or cuts all connections for some time; the change is
+// The store goes silent or resets all connections for some time; the change is
 // made when it is back.
 base::Duration StoreAway(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'000)));
@@ -355,7 +357,7 @@
   return fleet.AwaitInForce();
 }
 
-// The reader of one failure domain has lost the store for a while, alone.
+// Only the store reader of one failure domain cannot reach the store.
 base::Duration ReaderCutOff(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'500)));
   FleetDaemon& reader = fleet.FirstReader();
@@ -375,7 +377,7 @@
 
 TEST_P(UpdateFleetTest, ChangePropagatesWithinTheBound) {
   const auto& [fault_case, size] = GetParam();
-  // A run of the large fleet takes a quarter of a second.
+  // One run of the large fleet takes a quarter of a second.
   const std::uint64_t seeds = size.daemons > 100 ? 8 : 60;
   std::vector<base::Duration> times;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -390,9 +392,9 @@
   RecordProperty("worst_ms", std::to_string(times.back().count() / 1000));
 }
 
-// Guards against a bound that is kept unless a change falls into the worst
-// moment of the waits on its way: the one reader of a failure domain loses the
-// store at each phase of its rest, watch and renewal, and the change follows.
+// Guards against a bound that holds only if the fault does not meet the worst
+// moment of a wait. The store reader of one failure domain loses the store at
+// each phase of its pause, watch and lease renewal, and the change follows.
 TEST(UpdatePhaseTest, ReaderLossAtAnyPhaseStaysWithinTheBudget) {
   constexpr base::Duration kPhases = Milliseconds(2'000);
   constexpr base::Duration kStep = Milliseconds(20);
