--- a/src/relay/update_server.cc
+++ b/src/relay/update_server.cc
@@ -87,7 +87,7 @@
     return [] {};
   }
   if (target == kNewsTarget) {
-    respond(Render(log_.Everything()));
+    respond(Render(log_.AllItems()));
     return [] {};
   }
   if (const auto position = ParsePosition(target)) {
--- a/src/store/event_log.cc
+++ b/src/store/event_log.cc
@@ -11,9 +11,9 @@
 
 // A reader in the same failure domain asks every second or less; a release
 // changes some hundred entries in that time.
-constexpr std::size_t kMostChanges = 2'000;
+constexpr std::size_t kMaxChanges = 2'000;
 // A fleet of 8,700 leaves and 1,500 daemons replaces this many in a day or two.
-constexpr std::size_t kMostRemovals = 4'000;
+constexpr std::size_t kMaxRemovals = 4'000;
 
 }  // namespace
 
@@ -29,24 +29,24 @@
     DidReach(event.position());
     changes_.emplace_back(++cursor_, event);
   }
-  while (changes_.size() > kMostChanges) {
-    forgotten_ = changes_.front().first;
+  while (changes_.size() > kMaxChanges) {
+    trimmed_cursor_ = changes_.front().first;
     changes_.pop_front();
   }
-  DropOldRemovals();
+  TrimRemovals();
 }
 
 void EventLog::DidList(const Position& position) {
-  removals_known_since_ =
-      std::max(removals_known_since_.value_or(position), position);
+  removals_complete_since_ =
+      std::max(removals_complete_since_.value_or(position), position);
 }
 
 void EventLog::DidReach(const Position& position) {
   position_ = std::max(position_, position);
 }
 
-void EventLog::DropOldRemovals() {
-  while (removals_.size() > kMostRemovals) {
+void EventLog::TrimRemovals() {
+  while (removals_.size() > kMaxRemovals) {
     const auto oldest =
         std::min_element(removals_.begin(), removals_.end(),
                          [](const auto& left, const auto& right) {
@@ -59,8 +59,8 @@
 
 std::optional<std::vector<Event>> EventLog::ChangesSince(
     const Position& position) const {
-  if (position.era != position_.era || !removals_known_since_ ||
-      position < *removals_known_since_) {
+  if (position.era != position_.era || !removals_complete_since_ ||
+      position < *removals_complete_since_) {
     return std::nullopt;
   }
   std::vector<Event> events;
@@ -82,7 +82,7 @@
   return events;
 }
 
-std::vector<Event> EventLog::Everything() const {
+std::vector<Event> EventLog::AllItems() const {
   std::vector<Event> events;
   events.reserve(items_.size());
   for (const auto& [key, event] : items_) {
@@ -93,7 +93,7 @@
 
 std::optional<std::vector<Event>> EventLog::ChangesAfter(
     std::int64_t cursor) const {
-  if (cursor < forgotten_ || cursor > cursor_) {
+  if (cursor < trimmed_cursor_ || cursor > cursor_) {
     return std::nullopt;
   }
   std::vector<Event> events;
--- a/src/store/event_log.h
+++ b/src/store/event_log.h
@@ -22,7 +22,7 @@
   // `first_cursor` differs from that of an earlier process on this VM, so that
   // a cursor of that process is not taken for one of this.
   explicit EventLog(std::int64_t first_cursor)
-      : forgotten_(first_cursor), cursor_(first_cursor) {}
+      : trimmed_cursor_(first_cursor), cursor_(first_cursor) {}
 
   void Append(const std::vector<Event>& events);
   // Everything was read as it was at that position of the store. What came and
@@ -32,7 +32,7 @@
   void DidReach(const Position& position);
 
   // All keys.
-  std::vector<Event> Everything() const;
+  std::vector<Event> AllItems() const;
   // The changes after `cursor`; absent if they are no longer all known.
   std::optional<std::vector<Event>> ChangesAfter(std::int64_t cursor) const;
   // What somebody lacks who knows the store as it was at that position: the
@@ -47,19 +47,19 @@
   const Position& position() const { return position_; }
 
  private:
-  void DropOldRemovals();
+  void TrimRemovals();
 
   std::map<std::string, Event> items_;
   // Keys that are gone and the positions at which they went.
   std::map<std::string, Position> removals_;
   // All removals at later positions are in `removals_`; absent before the first
   // reading.
-  std::optional<Position> removals_known_since_;
+  std::optional<Position> removals_complete_since_;
   // By cursor, in the order in which they were appended. That is not always
   // the order of their revisions: a removal may be told of late.
   std::deque<std::pair<std::int64_t, Event>> changes_;
   // Changes up to this cursor have left `changes_`.
-  std::int64_t forgotten_;
+  std::int64_t trimmed_cursor_;
   std::int64_t cursor_;
   Position position_;
 };
--- a/src/store/follower.cc
+++ b/src/store/follower.cc
@@ -14,29 +14,29 @@
 using base::MonotonicTime;
 using base::Step;
 
-constexpr const char* kEverything = "";
+constexpr const char* kAllKeys = "";
 // The pause after a failure doubles between these, half of it by chance, so
 // that the daemons don't come back together. Each call is paid for, also one
 // that is turned away; the longest pause bounds how old the copy still is
 // after the store's return.
-constexpr base::Duration kFirstPause = base::Milliseconds(150);
-constexpr base::Duration kLongestPause = base::Milliseconds(1'000);
+constexpr base::Duration kInitialBackoff = base::Milliseconds(150);
+constexpr base::Duration kMaxBackoff = base::Milliseconds(1'000);
 // A daemon that knows nothing yet serves nobody; it asks sooner.
-constexpr base::Duration kLongestFirstPause = base::Milliseconds(300);
-constexpr int kMostDoublings = 4;
+constexpr base::Duration kMaxInitialListBackoff = base::Milliseconds(300);
+constexpr int kMaxDoublings = 4;
 
-base::Duration PauseAfter(int failures,
-                          base::Duration longest,
-                          base::Random& random) {
+base::Duration BackoffAfter(int failures,
+                            base::Duration longest,
+                            base::Random& random) {
   if (failures == 0) {
     return {};
   }
-  const int doublings = std::min(failures - 1, kMostDoublings);
+  const int doublings = std::min(failures - 1, kMaxDoublings);
   const base::Duration pause =
-      std::min(longest, kFirstPause * (1 << doublings));
-  const double by_chance =
+      std::min(longest, kInitialBackoff * (1 << doublings));
+  const double jitter =
       random.Unit() * 0.5 * static_cast<double>(pause.count());
-  return pause / 2 + base::Duration(static_cast<std::int64_t>(by_chance));
+  return pause / 2 + base::Duration(static_cast<std::int64_t>(jitter));
 }
 
 }  // namespace
@@ -69,7 +69,7 @@
 }
 
 void Follower::ListFromStart() {
-  listed_.clear();
+  listed_items_.clear();
   list_position_.reset();
   List("");
 }
@@ -78,7 +78,7 @@
   if (is_stopped_) {
     return;
   }
-  source_.list(kEverything, std::move(after),
+  source_.list(kAllKeys, std::move(after),
                [self = shared_from_this()](const base::Result<Page>& page) {
                  self->DidList(page);
                });
@@ -90,13 +90,13 @@
   }
   if (!page.is_ok() && page.error().code != ErrorCode::kExpired) {
     DidFail(page.error(), clock_.Now());
-    Again(base::Duration{}, &Follower::ListFromStart);
+    Retry(base::Duration{}, &Follower::ListFromStart);
     return;
   }
   DidSucceed();
   if (!page.is_ok()) {
     log_.DidFail(page.error(), "reading from the start");
-    Again(kFirstPause, &Follower::ListFromStart);
+    Retry(kInitialBackoff, &Follower::ListFromStart);
     return;
   }
   if (page.value().era < era_) {
@@ -105,7 +105,7 @@
                 .message = "left out a reading at " +
                            ToString(page.value().position()) + "; era " +
                            std::to_string(era_) + " is known"});
-    Again(kFirstPause, &Follower::ListFromStart);
+    Retry(kInitialBackoff, &Follower::ListFromStart);
     return;
   }
   if (!list_position_) {
@@ -113,7 +113,7 @@
     cursor_ = page.value().cursor;
   }
   for (const Event& item : page.value().items) {
-    listed_[item.key] = item;
+    listed_items_[item.key] = item;
   }
   if (page.value().is_last || page.value().items.empty()) {
     DidListAll();
@@ -123,13 +123,13 @@
 }
 
 void Follower::DidListAll() {
-  LogReading(listed_.size());
-  Enter(list_position_->era);
+  LogList(listed_items_.size());
+  EnterEra(list_position_->era);
   std::vector<Event> events = MissingFromList();
-  for (auto& [key, event] : listed_) {
+  for (auto& [key, event] : listed_items_) {
     events.push_back(std::move(event));
   }
-  listed_.clear();
+  listed_items_.clear();
   std::stable_sort(events.begin(), events.end(),
                    [](const Event& left, const Event& right) {
                      return left.position() < right.position();
@@ -144,11 +144,12 @@
 std::vector<Event> Follower::MissingFromList() const {
   const Position& position = *list_position_;
   std::vector<Event> removals;
-  for (const auto& [key, row] : rows_) {
+  for (const auto& [key, state] : key_states_) {
     // NOTE: a key written after the first page was read may be newer than the
     // reading that misses it; the watch from the first page's revision tells
     // of it again.
-    if (!row.is_removed && !listed_.contains(key) && row.position <= position) {
+    if (!state.is_removed && !listed_items_.contains(key) &&
+        state.position <= position) {
       removals.push_back({key, std::nullopt, position.revision, position.era});
     }
   }
@@ -159,7 +160,7 @@
   if (is_stopped_) {
     return;
   }
-  source_.watch(kEverything, cursor_, settings_.watch_wait,
+  source_.watch(kAllKeys, cursor_, settings_.watch_wait,
                 [self = shared_from_this(),
                  began = clock_.Now()](const base::Result<Changes>& changes) {
                   self->DidWatch(began, changes);
@@ -182,68 +183,68 @@
     // since it began; any other failure is news of now.
     const bool was_silent = changes.error().code == ErrorCode::kTimeout;
     DidFail(changes.error(), was_silent ? began : clock_.Now());
-    Again(base::Duration{}, &Follower::Watch);
+    Retry(base::Duration{}, &Follower::Watch);
     return;
   }
   DidSucceed();
   cursor_ = changes.value().cursor;
-  Enter(changes.value().position.era);
+  EnterEra(changes.value().position.era);
   Apply(changes.value().events);
   did_reach_(changes.value().position);
   Watch();
 }
 
 void Follower::Apply(const std::vector<Event>& events) {
-  std::vector<Event> news;
-  std::vector<Event> left_out;
-  const bool is_holding = clock_.Now() < hold_until_;
+  std::vector<Event> accepted;
+  std::vector<Event> skipped;
+  const bool is_delaying_removals = clock_.Now() < delay_removals_until_;
   for (const Event& event : events) {
-    Row& row = rows_[event.key];
+    KeyState& state = key_states_[event.key];
     const bool is_removal = !event.value.has_value();
-    if (event.position() < row.position) {
-      left_out.push_back(event);
+    if (event.position() < state.position) {
+      skipped.push_back(event);
       continue;
     }
-    if (event.position() == row.position && row.is_removed == is_removal) {
+    if (event.position() == state.position && state.is_removed == is_removal) {
       continue;
     }
-    held_.erase(event.key);
-    const Row known = std::exchange(row, RowOf(event));
-    if (IsUnchanged(row, known)) {
+    held_removals_.erase(event.key);
+    const KeyState known = std::exchange(state, StateOf(event));
+    if (IsUnchanged(state, known)) {
       continue;
     }
-    if (is_removal && is_holding) {
-      HoldRemoval(event);
+    if (is_removal && is_delaying_removals) {
+      DelayRemoval(event);
       continue;
     }
-    news.push_back(event);
+    accepted.push_back(event);
   }
-  LogLeftOut(left_out);
-  if (!news.empty()) {
-    did_change_(news);
+  LogSkipped(skipped);
+  if (!accepted.empty()) {
+    did_change_(accepted);
   }
 }
 
-Follower::Row Follower::RowOf(const Event& event) {
+Follower::KeyState Follower::StateOf(const Event& event) {
   if (!event.value) {
     return {event.position(), true, std::nullopt};
   }
   return {event.position(), false, std::hash<std::string>{}(*event.value)};
 }
 
-bool Follower::IsUnchanged(const Row& row, const Row& known) {
-  return row.position.era > known.position.era && row.value_hash &&
-         row.value_hash == known.value_hash;
+bool Follower::IsUnchanged(const KeyState& state, const KeyState& known) {
+  return state.position.era > known.position.era && state.value_hash &&
+         state.value_hash == known.value_hash;
 }
 
-void Follower::LogReading(std::size_t keys) const {
+void Follower::LogList(std::size_t keys) const {
   log_.Write({.level = base::LogLevel::kInfo,
               .step = Step::kReadStore,
               .message = "read " + std::to_string(keys) + " keys at " +
                          ToString(*list_position_)});
 }
 
-void Follower::LogLeftOut(const std::vector<Event>& events) const {
+void Follower::LogSkipped(const std::vector<Event>& events) const {
   if (events.empty()) {
     return;
   }
@@ -254,10 +255,10 @@
                          " changes as older than what is known, the last of " +
                          last.key + " at " + ToString(last.position()) +
                          ", known at " +
-                         ToString(rows_.at(last.key).position)});
+                         ToString(key_states_.at(last.key).position)});
 }
 
-void Follower::Enter(std::int64_t era) {
+void Follower::EnterEra(std::int64_t era) {
   if (era <= era_) {
     return;
   }
@@ -269,35 +270,36 @@
               .step = Step::kReadStore,
               .message = "the store was restored: era " + std::to_string(era) +
                          " after " + std::to_string(before)});
-  HoldRemovals();
+  DelayRemovals();
 }
 
-void Follower::HoldRemovals() {
-  hold_until_ = std::max(hold_until_, clock_.Now() + settings_.hold_removals);
+void Follower::DelayRemovals() {
+  delay_removals_until_ =
+      std::max(delay_removals_until_, clock_.Now() + settings_.removal_delay);
 }
 
-void Follower::HoldRemoval(Event event) {
-  if (held_.empty()) {
-    ReleaseLater();
+void Follower::DelayRemoval(Event event) {
+  if (held_removals_.empty()) {
+    ScheduleRelease();
   }
-  held_[event.key] = std::move(event);
+  held_removals_[event.key] = std::move(event);
 }
 
-void Follower::ReleaseLater() {
-  control_.After(hold_until_ - clock_.Now(),
+void Follower::ScheduleRelease() {
+  control_.After(delay_removals_until_ - clock_.Now(),
                  [self = shared_from_this()] { self->ReleaseRemovals(); });
 }
 
 void Follower::ReleaseRemovals() {
-  if (clock_.Now() < hold_until_) {
-    ReleaseLater();
+  if (clock_.Now() < delay_removals_until_) {
+    ScheduleRelease();
     return;
   }
   std::vector<Event> removals;
-  for (auto& [key, event] : held_) {
+  for (auto& [key, event] : held_removals_) {
     removals.push_back(std::move(event));
   }
-  held_.clear();
+  held_removals_.clear();
   if (!removals.empty() && !is_stopped_) {
     log_.Write({.level = base::LogLevel::kInfo,
                 .step = Step::kWatchStore,
@@ -309,14 +311,14 @@
 
 void Follower::DidSucceed() {
   const MonotonicTime now = clock_.Now();
-  if (away_since_ == MonotonicTime{}) {
+  if (unavailable_since_ == MonotonicTime{}) {
     return;
   }
-  const base::Duration outage = now - away_since_;
-  away_since_ = {};
+  const base::Duration outage = now - unavailable_since_;
+  unavailable_since_ = {};
   failures_ = 0;
-  if (outage >= settings_.shortest_outage) {
-    HoldRemovals();
+  if (outage >= settings_.min_outage) {
+    DelayRemovals();
   }
   log_.Write({.level = base::LogLevel::kInfo,
               .step = Step::kWatchStore,
@@ -325,18 +327,19 @@
 }
 
 void Follower::DidFail(const base::Error& error, MonotonicTime silent_since) {
-  if (away_since_ == MonotonicTime{}) {
-    away_since_ = silent_since;
+  if (unavailable_since_ == MonotonicTime{}) {
+    unavailable_since_ = silent_since;
     log_.DidFail(error, "the store does not answer; going on with " +
-                            std::to_string(rows_.size()) + " known keys");
+                            std::to_string(key_states_.size()) + " known keys");
   }
   ++failures_;
 }
 
-void Follower::Again(base::Duration delay, void (Follower::*step)()) {
+void Follower::Retry(base::Duration delay, void (Follower::*step)()) {
   const base::Duration longest =
-      is_complete_ ? kLongestPause : kLongestFirstPause;
-  const base::Duration pause = delay + PauseAfter(failures_, longest, *random_);
+      is_complete_ ? kMaxBackoff : kMaxInitialListBackoff;
+  const base::Duration pause =
+      delay + BackoffAfter(failures_, longest, *random_);
   control_.After(pause, [self = shared_from_this(), step] {
     if (!self->is_stopped_) {
       (self.get()->*step)();
--- a/src/store/follower.h
+++ b/src/store/follower.h
@@ -40,9 +40,9 @@
   // call.
   base::Duration watch_wait = base::Milliseconds(5'000);
   // How long removals are held back after an outage or a restore.
-  base::Duration hold_removals = base::Milliseconds(2'500);
+  base::Duration removal_delay = base::Milliseconds(2'500);
   // An outage shorter than this lets nothing expire.
-  base::Duration shortest_outage = base::Milliseconds(2'000);
+  base::Duration min_outage = base::Milliseconds(2'000);
 };
 
 class Follower : public std::enable_shared_from_this<Follower> {
@@ -71,7 +71,7 @@
   bool is_complete() const { return is_complete_; }
 
  private:
-  struct Row {
+  struct KeyState {
     Position position;
     bool is_removed = false;
     // Of its value; absent while it has none.
@@ -87,22 +87,22 @@
   void DidWatch(base::MonotonicTime began,
                 const base::Result<Changes>& changes);
   void Apply(const std::vector<Event>& events);
-  static Row RowOf(const Event& event);
+  static KeyState StateOf(const Event& event);
   // Whether the row at a later era says what is known of the key already.
-  static bool IsUnchanged(const Row& row, const Row& known);
-  void LogReading(std::size_t keys) const;
+  static bool IsUnchanged(const KeyState& state, const KeyState& known);
+  void LogList(std::size_t keys) const;
   // One line for all changes of one answer that were left out.
-  void LogLeftOut(const std::vector<Event>& events) const;
+  void LogSkipped(const std::vector<Event>& events) const;
   // What is told from now on is of that era, unless a later one was entered.
-  void Enter(std::int64_t era);
+  void EnterEra(std::int64_t era);
   // Removals that are told within the time from now on are held back.
-  void HoldRemovals();
-  void HoldRemoval(Event event);
-  void ReleaseLater();
+  void DelayRemovals();
+  void DelayRemoval(Event event);
+  void ScheduleRelease();
   void ReleaseRemovals();
   void DidSucceed();
   void DidFail(const base::Error& error, base::MonotonicTime silent_since);
-  void Again(base::Duration delay, void (Follower::*step)());
+  void Retry(base::Duration delay, void (Follower::*step)());
   void ListFromStart();
 
   const FollowerSettings settings_;
@@ -116,11 +116,11 @@
   const base::Log log_;
 
   // What is known of each key.
-  std::map<std::string, Row> rows_;
+  std::map<std::string, KeyState> key_states_;
   // Removals that are held back, by key.
-  std::map<std::string, Event> held_;
+  std::map<std::string, Event> held_removals_;
   // The reading of pages that is under way.
-  std::map<std::string, Event> listed_;
+  std::map<std::string, Event> listed_items_;
   // Of its first page; absent before that.
   std::optional<Position> list_position_;
   // The latest that was applied.
@@ -131,8 +131,8 @@
   bool is_stopped_ = false;
   int failures_ = 0;
   // Since when the store has not answered; zero while it does.
-  base::MonotonicTime away_since_;
-  base::MonotonicTime hold_until_;
+  base::MonotonicTime unavailable_since_;
+  base::MonotonicTime delay_removals_until_;
 };
 
 }  // namespace medlarspread::store
--- a/src/store/restore_guard.cc
+++ b/src/store/restore_guard.cc
@@ -18,20 +18,20 @@
 using List = std::function<void(std::string, std::string, ListCallback)>;
 using WatchCallback = std::function<void(Result<Changes>)>;
 
-struct Reading {
+struct ListEra {
   std::int64_t era = 0;
 };
 
-base::Error Restored(std::int64_t era, const Reading& reading) {
+base::Error MakeRestoredError(std::int64_t era, const ListEra& list_era) {
   return base::MakeError(ErrorCode::kExpired, Step::kWatchStore, "",
                          "the store was restored: era " + std::to_string(era) +
                              ", the reading began in era " +
-                             std::to_string(reading.era));
+                             std::to_string(list_era.era));
 }
 
 // An era of zero is not known, and so not another one.
-bool IsOtherEra(std::int64_t era, const Reading& reading) {
-  return era != 0 && era != reading.era;
+bool IsOtherEra(std::int64_t era, const ListEra& list_era) {
+  return era != 0 && era != list_era.era;
 }
 
 void SetEra(std::vector<Event>& events, std::int64_t era) {
@@ -40,27 +40,27 @@
   }
 }
 
-List GuardList(List list, const std::shared_ptr<Reading>& reading) {
+List GuardList(List list, const std::shared_ptr<ListEra>& list_era) {
   if (!list) {
     return list;
   }
-  return [list = std::move(list), reading](
+  return [list = std::move(list), list_era](
              std::string prefix, std::string after, ListCallback done) {
     const bool is_first = after.empty();
     list(std::move(prefix), std::move(after),
-         [reading, is_first, done = std::move(done)](Result<Page> page) {
+         [list_era, is_first, done = std::move(done)](Result<Page> page) {
            if (!page.is_ok()) {
              done(std::move(page));
              return;
            }
            const std::int64_t era = page.value().era;
-           if (IsOtherEra(era, *reading) && !is_first) {
-             done(Restored(era, *reading));
+           if (IsOtherEra(era, *list_era) && !is_first) {
+             done(MakeRestoredError(era, *list_era));
              return;
            }
-           reading->era = era == 0 ? reading->era : era;
-           page.value().era = reading->era;
-           SetEra(page.value().items, reading->era);
+           list_era->era = era == 0 ? list_era->era : era;
+           page.value().era = list_era->era;
+           SetEra(page.value().items, list_era->era);
            done(std::move(page));
          });
   };
@@ -69,25 +69,25 @@
 }  // namespace
 
 EventSource GuardAgainstRestore(EventSource store) {
-  const auto reading = std::make_shared<Reading>();
-  store.list = GuardList(std::move(store.list), reading);
-  store.list_stale = GuardList(std::move(store.list_stale), reading);
-  store.watch = [watch = std::move(store.watch), reading](
+  const auto list_era = std::make_shared<ListEra>();
+  store.list = GuardList(std::move(store.list), list_era);
+  store.list_stale = GuardList(std::move(store.list_stale), list_era);
+  store.watch = [watch = std::move(store.watch), list_era](
                     std::string prefix, std::int64_t cursor,
                     base::Duration wait, WatchCallback done) {
     watch(std::move(prefix), cursor, wait,
-          [reading, done = std::move(done)](Result<Changes> changes) {
+          [list_era, done = std::move(done)](Result<Changes> changes) {
             if (!changes.is_ok()) {
               done(std::move(changes));
               return;
             }
             Position& position = changes.value().position;
-            if (IsOtherEra(position.era, *reading)) {
-              done(Restored(position.era, *reading));
+            if (IsOtherEra(position.era, *list_era)) {
+              done(MakeRestoredError(position.era, *list_era));
               return;
             }
-            position.era = reading->era;
-            SetEra(changes.value().events, reading->era);
+            position.era = list_era->era;
+            SetEra(changes.value().events, list_era->era);
             done(std::move(changes));
           });
   };
--- a/tests/store/event_log_test.cc
+++ b/tests/store/event_log_test.cc
@@ -16,13 +16,13 @@
 TEST(EventLogTest, KnowsTheLastValueOfEachKey) {
   EventLog log(100);
   log.Append({{"a", "1", 5}, {"b", "1", 6}, {"a", std::nullopt, 7}});
-  const auto everything = log.Everything();
+  const auto everything = log.AllItems();
   ASSERT_EQ(everything.size(), 1U);
   EXPECT_EQ(everything[0].key, "b");
   EXPECT_EQ(log.position(), (Position{0, 7}));
 }
 
-TEST(EventLogTest, TellsWhatChangedSinceACursor) {
+TEST(EventLogTest, ReturnsChangesAfterACursor) {
   EventLog log(100);
   log.Append({{"a", "1", 5}});
   const auto cursor = log.cursor();
@@ -39,7 +39,7 @@
   EXPECT_FALSE(log.ChangesAfter(log.cursor() + 1).has_value());
 }
 
-TEST(EventLogTest, OldChangesAreForgotten) {
+TEST(EventLogTest, OldChangesAreTrimmed) {
   EventLog log(0);
   for (int revision = 1; revision <= 5'000; ++revision) {
     log.Append({{"a", std::to_string(revision), revision}});
@@ -48,14 +48,14 @@
   EXPECT_EQ(log.ChangesAfter(4'990)->size(), 10U);
 }
 
-TEST(EventLogTest, TellsWhatIsLackingSinceARevision) {
+TEST(EventLogTest, ReturnsChangesSinceARevision) {
   EventLog log(100);
   log.DidList({0, 10});
   log.Append({{"a", "1", 5}, {"b", "1", 9}});
   log.Append({{"c", "1", 12}, {"a", std::nullopt, 13}, {"b", "2", 14}});
-  const auto lacking = log.ChangesSince({0, 11});
-  ASSERT_TRUE(lacking.has_value());
-  EXPECT_EQ(*lacking,
+  const auto missing = log.ChangesSince({0, 11});
+  ASSERT_TRUE(missing.has_value());
+  EXPECT_EQ(*missing,
             (std::vector<Event>{
                 {"c", "1", 12}, {"a", std::nullopt, 13}, {"b", "2", 14}}));
   EXPECT_TRUE(log.ChangesSince({0, 14})->empty());
@@ -63,7 +63,7 @@
 
 // What came and went before the first reading was never heard of here, and
 // somebody else may still believe in it.
-TEST(EventLogTest, BeforeTheFirstReadingNotAllRemovalsAreKnown) {
+TEST(EventLogTest, RemovalsBeforeTheFirstListAreUnknown) {
   EventLog log(100);
   EXPECT_FALSE(log.ChangesSince({0, 11}).has_value());
   log.DidList({0, 10});
@@ -75,14 +75,14 @@
   EXPECT_FALSE(log.ChangesSince({0, 19}).has_value());
 }
 
-TEST(EventLogTest, AKeyThatCameBackIsNoRemoval) {
+TEST(EventLogTest, RewrittenKeyIsNotARemoval) {
   EventLog log(100);
   log.DidList({0, 1});
   log.Append({{"a", std::nullopt, 3}, {"a", "2", 4}});
   EXPECT_EQ(*log.ChangesSince({0, 2}), (std::vector<Event>{{"a", "2", 4}}));
 }
 
-TEST(EventLogTest, OldRemovalsAreForgotten) {
+TEST(EventLogTest, OldRemovalsAreTrimmed) {
   EventLog log(0);
   log.DidList({0, 0});
   for (int revision = 1; revision <= 5'000; ++revision) {
@@ -94,7 +94,7 @@
 
 // Guards against asking for the changes since a revision that the restored
 // store has given out again, for another change.
-TEST(EventLogTest, WhoKnowsAnEarlierEraOnlyLacksEverything) {
+TEST(EventLogTest, PositionOfAnotherEraHasNoChanges) {
   EventLog log(100);
   log.DidList({1, 10});
   log.Append({{"a", "1", 12, 1}});
@@ -103,12 +103,12 @@
   EXPECT_EQ(log.position(), (Position{2, 12}));
   EXPECT_FALSE(log.ChangesSince({1, 12}).has_value());
   EXPECT_FALSE(log.ChangesSince({3, 5}).has_value());
-  const auto lacking = log.ChangesSince({2, 11});
-  ASSERT_TRUE(lacking.has_value());
-  EXPECT_EQ(*lacking, (std::vector<Event>{{"b", "1", 12, 2}}));
+  const auto missing = log.ChangesSince({2, 11});
+  ASSERT_TRUE(missing.has_value());
+  EXPECT_EQ(*missing, (std::vector<Event>{{"b", "1", 12, 2}}));
 }
 
-TEST(EventLogTest, APositionIsReachedWithoutAChange) {
+TEST(EventLogTest, PositionAdvancesWithoutAChange) {
   EventLog log(100);
   log.Append({{"a", "1", 12, 1}});
   log.DidReach({2, 9});
@@ -118,12 +118,12 @@
 }
 
 // Whoever follows by revision ends with what the other has, whenever it asks.
-TEST(EventLogTest, FollowingByRevisionMissesNothing) {
+TEST(EventLogTest, ChangesSinceARevisionAreComplete) {
   base::Random random(20261203);
   for (int run = 0; run < 200; ++run) {
     EventLog log(0);
     log.DidList({0, 0});
-    std::map<std::string, std::string> here;
+    std::map<std::string, std::string> follower_items;
     std::int64_t known = 0;
     for (std::int64_t revision = 1; revision <= 60; ++revision) {
       const std::string key = "k" + std::to_string(random.Below(6));
@@ -135,21 +135,22 @@
       if (random.Below(4) != 0) {
         continue;
       }
-      const auto lacking = log.ChangesSince({0, known});
-      ASSERT_TRUE(lacking.has_value());
-      for (const Event& event : *lacking) {
+      const auto missing = log.ChangesSince({0, known});
+      ASSERT_TRUE(missing.has_value());
+      for (const Event& event : *missing) {
         if (event.value) {
-          here[event.key] = *event.value;
+          follower_items[event.key] = *event.value;
         } else {
-          here.erase(event.key);
+          follower_items.erase(event.key);
         }
       }
       known = log.position().revision;
-      std::map<std::string, std::string> there;
-      for (const Event& event : log.Everything()) {
-        there[event.key] = *event.value;
+      std::map<std::string, std::string> log_items;
+      for (const Event& event : log.AllItems()) {
+        log_items[event.key] = *event.value;
       }
-      ASSERT_EQ(here, there) << "run " << run << ", revision " << revision;
+      ASSERT_EQ(follower_items, log_items)
+          << "run " << run << ", revision " << revision;
     }
   }
 }
--- a/tests/store/follower_test.cc
+++ b/tests/store/follower_test.cc
@@ -37,7 +37,7 @@
         [this](const Position& position) { listed_at_.push_back(position); },
         [this](const std::vector<Event>& events) {
           for (const Event& event : events) {
-            told_.push_back(event);
+            reported_.push_back(event);
             if (event.value) {
               known_[event.key] = *event.value;
             } else {
@@ -96,7 +96,7 @@
   int watches_ = 0;
   std::string list_after_;
   std::int64_t watch_cursor_ = 0;
-  std::vector<Event> told_;
+  std::vector<Event> reported_;
   // Positions at which everything was read.
   std::vector<Position> listed_at_;
   // Up to where everything was told.
@@ -113,7 +113,7 @@
   EXPECT_EQ(watch_cursor_, 10);
 }
 
-TEST_F(FollowerTest, AKeyNeverGoesBack) {
+TEST_F(FollowerTest, KeyNeverRegresses) {
   AnswerList({Write("a", "new", 5)}, 5);
   AnswerWatch({Write("a", "old", 4)}, 6);
   EXPECT_EQ(known_["a"], "new");
@@ -121,13 +121,13 @@
   EXPECT_EQ(known_["a"], "new");
 }
 
-TEST_F(FollowerTest, TellsNothingTwice) {
+TEST_F(FollowerTest, ReportsNoChangeTwice) {
   AnswerList({Write("a", "1", 5)}, 5);
   AnswerWatch({Write("a", "1", 5)}, 6);
-  EXPECT_EQ(told_.size(), 1U);
+  EXPECT_EQ(reported_.size(), 1U);
 }
 
-TEST_F(FollowerTest, HistoryThatIsGoneMeansReadingAnew) {
+TEST_F(FollowerTest, ExpiredHistoryCausesAFullList) {
   AnswerList({Write("a", "1", 3), Write("b", "1", 4)}, 5);
   FailWatch(ErrorCode::kExpired);
   ASSERT_TRUE(list_);
@@ -136,7 +136,7 @@
   EXPECT_EQ(known_["b"], "2");
 }
 
-TEST_F(FollowerTest, AFailedWatchIsTriedAgainAfterAPause) {
+TEST_F(FollowerTest, FailedWatchIsRetriedAfterABackoff) {
   AnswerList({}, 5);
   FailWatch(ErrorCode::kConnectionLost);
   EXPECT_EQ(watches_, 1);
@@ -145,7 +145,7 @@
   EXPECT_EQ(watch_cursor_, 5);
 }
 
-TEST_F(FollowerTest, CallsAreFewWhileTheStoreIsAway) {
+TEST_F(FollowerTest, CallsAreFewDuringAnOutage) {
   AnswerList({}, 5);
   for (int step = 0; step < 1'000; ++step) {
     if (watch_) {
@@ -157,7 +157,7 @@
   EXPECT_GT(watches_, 8);
 }
 
-TEST_F(FollowerTest, RemovalsAreHeldBackAfterAnOutage) {
+TEST_F(FollowerTest, RemovalsAreDelayedAfterAnOutage) {
   AnswerList({Write("a", "1", 3), Write("b", "1", 4)}, 5);
   FailWatch(ErrorCode::kUnreachable);
   for (int step = 0; step < 400; ++step) {
@@ -176,7 +176,7 @@
   EXPECT_FALSE(known_.contains("b"));
 }
 
-TEST_F(FollowerTest, WithoutAnOutageRemovalsCountAtOnce) {
+TEST_F(FollowerTest, RemovalsApplyAtOnceWithoutAnOutage) {
   AnswerList({Write("a", "1", 3)}, 5);
   FailWatch(ErrorCode::kConnectionLost);
   Advance(200);
@@ -184,7 +184,7 @@
   EXPECT_FALSE(known_.contains("a"));
 }
 
-TEST_F(FollowerTest, AWatchThatWasNeverAnsweredCountsAsAnOutageSinceItsStart) {
+TEST_F(FollowerTest, TimedOutWatchCountsAsAnOutageSinceItsStart) {
   AnswerList({Write("a", "1", 3)}, 5);
   Advance(6'000);
   FailWatch(ErrorCode::kTimeout);
@@ -197,7 +197,7 @@
 
 // Guards against changes that are dropped because a store that was restored
 // from a copy gives out lower revisions than before.
-TEST_F(FollowerTest, AfterARestoreAChangeWithALowerRevisionCounts) {
+TEST_F(FollowerTest, LowerRevisionIsAppliedAfterARestore) {
   AnswerList({Write("a", "1", 90), Write("b", "1", 95)}, 100);
   FailWatch(ErrorCode::kExpired);
   era_ = 2;
@@ -209,7 +209,7 @@
 
 // Guards against keys that are believed in for ever because the write that the
 // restored store has lost has a higher revision than its reading.
-TEST_F(FollowerTest, AKeyThatWasLostInARestoreGoes) {
+TEST_F(FollowerTest, KeyLostInARestoreIsRemoved) {
   AnswerList({Write("a", "1", 40), Write("b", "1", 95)}, 100);
   FailWatch(ErrorCode::kExpired);
   era_ = 2;
@@ -221,7 +221,7 @@
 
 // Guards against leaves that are left out, though they are alive, because the
 // store was away only for a moment when it lost their entries.
-TEST_F(FollowerTest, WhatARestoreLostMayBeWrittenAgainBeforeItGoes) {
+TEST_F(FollowerTest, KeyLostInARestoreMayBeRewrittenInTime) {
   AnswerList({Write("a", "1", 90), Write("b", "1", 95)}, 100);
   FailWatch(ErrorCode::kExpired);
   era_ = 2;
@@ -236,7 +236,7 @@
 
 // Guards against removals that the first of two restores held back and that are
 // told before the second one's time is over.
-TEST_F(FollowerTest, ASecondRestoreHoldsRemovalsBackAnew) {
+TEST_F(FollowerTest, SecondRestoreExtendsTheRemovalDelay) {
   AnswerList({Write("a", "1", 90)}, 100);
   FailWatch(ErrorCode::kExpired);
   era_ = 2;
@@ -253,7 +253,7 @@
 
 // Guards against leaves that are removed at once by whoever heard of the
 // restore from a peer and then reads the store itself.
-TEST_F(FollowerTest, ARestoreThatAPeerToldOfHoldsRemovalsBackToo) {
+TEST_F(FollowerTest, RestoreReportedByAPeerDelaysRemovals) {
   AnswerList({Write("a", "1", 90)}, 100);
   era_ = 2;
   AnswerWatch({Write("b", "1", 60)}, 101);
@@ -264,18 +264,18 @@
   EXPECT_FALSE(known_.contains("a"));
 }
 
-TEST_F(FollowerTest, ARestoreThatChangedNothingTellsOnlyThePosition) {
+TEST_F(FollowerTest, RestoreWithoutChangesReportsOnlyThePosition) {
   AnswerList({Write("a", "1", 40)}, 60);
-  EXPECT_EQ(told_.size(), 1U);
+  EXPECT_EQ(reported_.size(), 1U);
   EXPECT_EQ(reached_, (Position{1, 60}));
   FailWatch(ErrorCode::kExpired);
   era_ = 2;
   AnswerList({Write("a", "1", 40)}, 55);
-  EXPECT_EQ(told_.size(), 1U);
+  EXPECT_EQ(reported_.size(), 1U);
   EXPECT_EQ(reached_, (Position{2, 55}));
 }
 
-TEST_F(FollowerTest, AReadingOfAnEarlierEraIsLeftOut) {
+TEST_F(FollowerTest, ListOfAnEarlierEraIsIgnored) {
   era_ = 2;
   AnswerList({Write("a", "new", 40)}, 60);
   FailWatch(ErrorCode::kExpired);
@@ -289,7 +289,7 @@
   EXPECT_EQ(known_["a"], "newer");
 }
 
-TEST_F(FollowerTest, AReadingThatStraddlesARestoreBeginsAnew) {
+TEST_F(FollowerTest, ListAcrossARestoreStartsOver) {
   AnswerList({Write("a", "1", 3)}, 10, false);
   std::exchange(list_, nullptr)(Failure(ErrorCode::kExpired));
   EXPECT_TRUE(known_.empty());
@@ -298,7 +298,7 @@
   EXPECT_EQ(list_after_, "");
 }
 
-TEST_F(FollowerTest, AfterStopNothingIsAsked) {
+TEST_F(FollowerTest, MakesNoCallsAfterStop) {
   AnswerList({}, 5);
   follower_->Stop();
   AnswerWatch({Write("a", "1", 6)}, 6);
--- a/tests/store/restored_store_test.cc
+++ b/tests/store/restored_store_test.cc
@@ -56,7 +56,7 @@
                          std::function<void(base::Result<Page>)> done) {
       runner_.After(kOneWay, [this, done] {
         const Position& position = log_.position();
-        done(Page{log_.Everything(), true, position.revision, log_.cursor(),
+        done(Page{log_.AllItems(), true, position.revision, log_.cursor(),
                   position.era});
       });
     };
@@ -77,7 +77,7 @@
   }
 
   const Values& known() const { return known_; }
-  bool has_gone_back() const { return has_gone_back_; }
+  bool has_regressed() const { return has_regressed_; }
   const EventLog& log() const { return log_; }
 
  private:
@@ -90,7 +90,7 @@
       }
     }
     log_.Append(events);
-    has_gone_back_ = has_gone_back_ || log_.position() < reached_;
+    has_regressed_ = has_regressed_ || log_.position() < reached_;
     reached_ = log_.position();
   }
 
@@ -98,7 +98,7 @@
   EventLog log_{0};
   Values known_;
   Position reached_;
-  bool has_gone_back_ = false;
+  bool has_regressed_ = false;
   std::shared_ptr<Follower> follower_;
 };
 
@@ -106,7 +106,7 @@
 
 // Guards against changes that are missed, and keys that are kept for ever, when
 // the store is restored at any moment of a reading, a watch or a pause.
-TEST_P(RestoredStoreTest, WhoFollowsEndsWithWhatTheStoreHolds) {
+TEST_P(RestoredStoreTest, FollowersConvergeToTheStore) {
   base::Random random(GetParam());
   const auto time = std::make_shared<base::ManualTime>(1'000'000, 0);
   const auto scheduler = std::make_shared<base::ManualScheduler>(time);
@@ -140,8 +140,8 @@
   scheduler->Advance(Milliseconds(12'000));
   EXPECT_EQ(reader.known(), store.values());
   EXPECT_EQ(follower.known(), store.values());
-  EXPECT_FALSE(reader.has_gone_back());
-  EXPECT_FALSE(follower.has_gone_back());
+  EXPECT_FALSE(reader.has_regressed());
+  EXPECT_FALSE(follower.has_regressed());
   EXPECT_EQ(follower.log().position(), reader.log().position());
 }
 
