--- a/emulator/fleet/virtual_daemon.cc
+++ b/emulator/fleet/virtual_daemon.cc
@@ -116,7 +116,7 @@
                                    blackboard::QuarantineEntry entry) {
     verdicts_->RecordIfMissing(fingerprint, std::move(entry));
   };
-  ports.has_reports = [this] { reports_->TellSoon(); };
+  ports.has_reports = [this] { reports_->SendSoon(); };
   ports.did_end_leaf = [] {};
   ports.did_convict = [this] { ++world_.convictions; };
   return std::make_shared<quarantine::Quarantine>(
--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -156,7 +156,7 @@
       controllers_.verdicts().RecordIfMissing(fingerprint, entry);
     });
   };
-  ports.has_reports = [this] { reports_->TellSoon(); };
+  ports.has_reports = [this] { reports_->SendSoon(); };
   ports.did_end_leaf = [this] {
     metrics_.Count(metrics::Counter::kLeavesEnded);
   };
--- a/src/gossip/datagram_socket.h
+++ b/src/gossip/datagram_socket.h
@@ -34,13 +34,13 @@
 
  private:
   // Longer datagrams are cut off, and so no datagram of a daemon.
-  static constexpr std::size_t kMostBytes = 4096;
+  static constexpr std::size_t kMaxDatagramBytes = 4096;
 
   void Receive();
 
   boost::asio::ip::udp::socket socket_;
   const DidReceive did_receive_;
-  std::array<char, kMostBytes> buffer_{};
+  std::array<char, kMaxDatagramBytes> buffer_{};
   boost::asio::ip::udp::endpoint sender_;
 };
 
--- a/src/gossip/report_codec.cc
+++ b/src/gossip/report_codec.cc
@@ -24,18 +24,18 @@
 using routing::LeafReport;
 
 // No daemon sees more replies within the time of a report.
-constexpr int kMostReplies = 10'000;
-constexpr base::Duration kLongestWork = base::Milliseconds(600'000);
+constexpr int kMaxReplies = 10'000;
+constexpr base::Duration kMaxWork = base::Milliseconds(600'000);
 
-bool IsPossible(const LeafReport& report) {
+bool IsPlausible(const LeafReport& report) {
   return !report.leaf.empty() && !report.class_name.empty() &&
-         report.replies > 0 && report.replies <= kMostReplies &&
+         report.replies > 0 && report.replies <= kMaxReplies &&
          report.failures >= 0 && report.failures <= report.replies &&
-         report.work >= base::Duration{} && report.work <= kLongestWork;
+         report.work >= base::Duration{} && report.work <= kMaxWork;
 }
 
 // Runs that ended longer ago than any evidence is kept are no daemon's word.
-constexpr base::Duration kOldestRun = base::Milliseconds(3'600'000);
+constexpr base::Duration kMaxRunAge = base::Milliseconds(3'600'000);
 
 peer::wire::RunReport ToWire(const RunReport& report, base::MonotonicTime now) {
   peer::wire::RunReport row;
@@ -50,13 +50,13 @@
 
 std::optional<RunReport> FromWire(peer::wire::RunReport row,
                                   base::MonotonicTime now) {
-  const bool is_possible =
+  const bool is_plausible =
       row.fingerprint.size() == quarantine::Fingerprint::kBytes &&
       row.finding >= 0 &&
       row.finding <= static_cast<std::int32_t>(RunFinding::kConvicted) &&
       row.ended_age_us >= 0 && row.began_age_us >= row.ended_age_us &&
-      row.began_age_us <= kOldestRun.count();
-  if (!is_possible) {
+      row.began_age_us <= kMaxRunAge.count();
+  if (!is_plausible) {
     return std::nullopt;
   }
   RunReport report;
@@ -103,7 +103,7 @@
     // A length that the bytes claim must not make room for more than they are.
     TCompactProtocolT<TMemoryBuffer> protocol(
         buffer, static_cast<std::int32_t>(bytes.size()),
-        static_cast<std::int32_t>(kMostReports));
+        static_cast<std::int32_t>(kMaxReports));
     message.read(&protocol);
   } catch (const std::exception& exception) {
     return base::MakeError(base::ErrorCode::kMalformed, base::Step::kPeerLink,
@@ -114,7 +114,7 @@
   for (peer::wire::LeafReport& row : message.reports) {
     LeafReport report{std::move(row.leaf), std::move(row.class_name),
                       row.replies, row.failures, base::Duration(row.work_us)};
-    if (IsPossible(report)) {
+    if (IsPlausible(report)) {
       datagram.reports.push_back(std::move(report));
     }
   }
--- a/src/gossip/report_codec.h
+++ b/src/gossip/report_codec.h
@@ -15,8 +15,8 @@
 namespace medlarspread::gossip {
 
 // So that a datagram of them stays below what one packet carries.
-constexpr std::size_t kMostReports = 16;
-constexpr std::size_t kMostRuns = 6;
+constexpr std::size_t kMaxReports = 16;
+constexpr std::size_t kMaxRuns = 6;
 
 struct ReportDatagram {
   std::vector<routing::LeafReport> reports;
@@ -30,7 +30,7 @@
 // datagram makes them look later by so much.
 std::string Encode(const ReportDatagram& datagram,
                    base::MonotonicTime now = {});
-// kMalformed if the bytes are no datagram or hold more than kMostReports.
+// kMalformed if the bytes are no datagram or hold more than kMaxReports.
 // Reports with impossible figures are left out.
 base::Result<ReportDatagram> Decode(const std::string& bytes,
                                     const std::string& peer,
--- a/src/gossip/report_exchange.cc
+++ b/src/gossip/report_exchange.cc
@@ -13,35 +13,35 @@
 // How often a daemon looks whether it has something to tell. Seldom enough for
 // a fleet of 1,500 to send its strong daemons some hundred datagrams a second
 // each, and a fraction of the second within which the whole fleet should know.
-constexpr base::Duration kTellInterval = base::Milliseconds(100);
+constexpr base::Duration kSendInterval = base::Milliseconds(100);
 // What should not wait goes out at the next turn, but no more often than this.
-constexpr base::Duration kLeastTellInterval = base::Milliseconds(10);
-constexpr base::Duration kPassOnInterval = base::Milliseconds(200);
+constexpr base::Duration kMinSendInterval = base::Milliseconds(10);
+constexpr base::Duration kForwardInterval = base::Milliseconds(200);
 // A daemon with this part of the strongest one's processor passes reports on.
-constexpr double kStrongPart = 0.5;
+constexpr double kStrongShareRatio = 0.5;
 // Runs that wait to be passed on; each is told more than once.
-constexpr std::size_t kMostRunsKept = 4 * kMostRuns;
+constexpr std::size_t kMaxQueuedRuns = 4 * kMaxRuns;
 
 using blackboard::Member;
 using blackboard::MembershipView;
 
 // Those that pass reports on in each failure domain.
-std::map<std::string, std::vector<const Member*>> FindStrong(
+std::map<std::string, std::vector<const Member*>> FindRelays(
     const MembershipView& view) {
   std::map<std::string, double> strongest;
   for (const auto& [name, member] : view.members) {
     double& best = strongest[member.failure_domain];
     best = std::max(best, member.processor_share);
   }
-  std::map<std::string, std::vector<const Member*>> strong;
+  std::map<std::string, std::vector<const Member*>> relays;
   for (const auto& [name, member] : view.members) {
     if (!member.query_address.empty() &&
         member.processor_share >=
-            kStrongPart * strongest[member.failure_domain]) {
-      strong[member.failure_domain].push_back(&member);
+            kStrongShareRatio * strongest[member.failure_domain]) {
+      relays[member.failure_domain].push_back(&member);
     }
   }
-  return strong;
+  return relays;
 }
 
 }  // namespace
@@ -58,46 +58,46 @@
       ports_(std::move(ports)) {}
 
 void ReportExchange::Start() {
-  runner_.After(kTellInterval, [self = shared_from_this()] {
+  runner_.After(kSendInterval, [self = shared_from_this()] {
     if (!self->is_stopped_) {
-      self->Tell();
+      self->SendFindings();
       self->Start();
     }
   });
 }
 
-void ReportExchange::TellSoon() {
-  if (is_telling_soon_ || is_stopped_) {
+void ReportExchange::SendSoon() {
+  if (is_send_scheduled_ || is_stopped_) {
     return;
   }
-  is_telling_soon_ = true;
-  const base::Duration since = clock_.Now() - told_;
-  runner_.After(std::max(base::Duration{}, kLeastTellInterval - since),
+  is_send_scheduled_ = true;
+  const base::Duration since = clock_.Now() - last_sent_;
+  runner_.After(std::max(base::Duration{}, kMinSendInterval - since),
                 [self = shared_from_this()] {
-                  self->is_telling_soon_ = false;
+                  self->is_send_scheduled_ = false;
                   if (!self->is_stopped_) {
-                    self->Tell();
+                    self->SendFindings();
                   }
                 });
 }
 
-void ReportExchange::Tell() {
-  told_ = clock_.Now();
+void ReportExchange::SendFindings() {
+  last_sent_ = clock_.Now();
   for (const routing::LeafReport& report : ports_.collect()) {
-    found_.Add(report);
+    unsent_reports_.Add(report);
   }
-  auto runs = ports_.collect_runs(kMostRuns);
-  if (found_.is_empty() && runs.empty()) {
+  auto runs = ports_.collect_runs(kMaxRuns);
+  if (unsent_reports_.is_empty() && runs.empty()) {
     return;
   }
-  const ReportDatagram datagram{found_.Take(kMostReports), true,
+  const ReportDatagram datagram{unsent_reports_.Take(kMaxReports), true,
                                 std::move(runs)};
   const auto view = blackboard_.membership.Read();
-  for (const auto& [domain, strong] : FindStrong(*view)) {
-    const Member* chosen = strong[random_->Below(strong.size())];
+  for (const auto& [domain, relays] : FindRelays(*view)) {
+    const Member* chosen = relays[random_->Below(relays.size())];
     if (chosen->name == view->self) {
-      Keep(datagram);
-      PassOn();
+      QueueForForwarding(datagram);
+      ForwardQueued();
     } else {
       Send(chosen->query_address, datagram);
     }
@@ -110,58 +110,59 @@
   if (!datagram.is_ok() || is_stopped_) {
     return;
   }
-  Hear(datagram.value().reports);
+  DeliverReports(datagram.value().reports);
   for (const quarantine::RunReport& report : datagram.value().runs) {
-    ports_.did_hear_run(report);
+    ports_.did_receive_run(report);
   }
   if (datagram.value().is_to_be_passed_on) {
-    Keep(datagram.value());
-    PassOn();
+    QueueForForwarding(datagram.value());
+    ForwardQueued();
   }
 }
 
-void ReportExchange::Keep(const ReportDatagram& datagram) {
+void ReportExchange::QueueForForwarding(const ReportDatagram& datagram) {
   for (const routing::LeafReport& report : datagram.reports) {
-    to_pass_on_.Add(report);
+    queued_reports_.Add(report);
   }
   for (const quarantine::RunReport& report : datagram.runs) {
-    if (runs_to_pass_on_.size() < kMostRunsKept) {
-      runs_to_pass_on_.push_back(report);
+    if (queued_runs_.size() < kMaxQueuedRuns) {
+      queued_runs_.push_back(report);
     }
   }
 }
 
-void ReportExchange::Hear(const std::vector<routing::LeafReport>& reports) {
+void ReportExchange::DeliverReports(
+    const std::vector<routing::LeafReport>& reports) {
   const auto leaves = blackboard_.upstreams.Read();
   for (const routing::LeafReport& report : reports) {
     if (leaves->upstreams.contains(report.leaf)) {
-      ports_.did_hear(report);
+      ports_.did_receive_report(report);
     }
   }
 }
 
-void ReportExchange::PassOn() {
-  const bool has_news = !to_pass_on_.is_empty() || !runs_to_pass_on_.empty();
-  if (is_passing_on_ || !has_news) {
+void ReportExchange::ForwardQueued() {
+  const bool has_queued = !queued_reports_.is_empty() || !queued_runs_.empty();
+  if (is_forward_scheduled_ || !has_queued) {
     return;
   }
   const base::MonotonicTime now = clock_.Now();
-  const base::MonotonicTime due = passed_on_ + kPassOnInterval;
-  if (passed_on_ != base::MonotonicTime{} && now < due) {
-    is_passing_on_ = true;
+  const base::MonotonicTime due = last_forwarded_ + kForwardInterval;
+  if (last_forwarded_ != base::MonotonicTime{} && now < due) {
+    is_forward_scheduled_ = true;
     runner_.After(due - now, [self = shared_from_this()] {
-      self->is_passing_on_ = false;
+      self->is_forward_scheduled_ = false;
       if (!self->is_stopped_) {
-        self->PassOn();
+        self->ForwardQueued();
       }
     });
     return;
   }
-  passed_on_ = now;
-  ReportDatagram datagram{to_pass_on_.Take(kMostReports), false};
-  while (datagram.runs.size() < kMostRuns && !runs_to_pass_on_.empty()) {
-    datagram.runs.push_back(std::move(runs_to_pass_on_.front()));
-    runs_to_pass_on_.pop_front();
+  last_forwarded_ = now;
+  ReportDatagram datagram{queued_reports_.Take(kMaxReports), false};
+  while (datagram.runs.size() < kMaxRuns && !queued_runs_.empty()) {
+    datagram.runs.push_back(std::move(queued_runs_.front()));
+    queued_runs_.pop_front();
   }
   const auto view = blackboard_.membership.Read();
   const auto self = view->members.find(view->self);
@@ -174,7 +175,7 @@
       Send(member.query_address, datagram);
     }
   }
-  PassOn();
+  ForwardQueued();
 }
 
 void ReportExchange::Send(const std::string& address,
--- a/src/gossip/report_exchange.h
+++ b/src/gossip/report_exchange.h
@@ -15,7 +15,7 @@
 // What became of runs of a suspect request goes the same way.
 //
 // Both go out at once, but seldom enough to bound what is sent: a daemon hears
-// no more than kMostReports every kPassOnInterval from each strong daemon of
+// no more than kMaxReports every kForwardInterval from each strong daemon of
 // its domain, some 2 KB/s. Datagrams may be lost; nothing waits for them.
 //
 // Runs on the traffic thread.
@@ -47,13 +47,13 @@
   // What this daemon has found since the last call.
   std::function<std::vector<routing::LeafReport>()> collect;
   // Another daemon's finding of a leaf that is known here.
-  std::function<void(const routing::LeafReport&)> did_hear;
+  std::function<void(const routing::LeafReport&)> did_receive_report;
   // What is to be told of runs now, at most so many reports.
-  std::function<std::vector<quarantine::RunReport>(std::size_t most)>
+  std::function<std::vector<quarantine::RunReport>(std::size_t max_count)>
       collect_runs =
           [](std::size_t) { return std::vector<quarantine::RunReport>(); };
   // Another daemon's finding of a run.
-  std::function<void(const quarantine::RunReport&)> did_hear_run =
+  std::function<void(const quarantine::RunReport&)> did_receive_run =
       [](const quarantine::RunReport&) {};
 };
 
@@ -68,17 +68,17 @@
   void Start();
   void Stop() { is_stopped_ = true; }
   // There is something to collect that should not wait for the next round.
-  void TellSoon();
+  void SendSoon();
   // Bytes that are no datagram of a daemon are left out.
   void DidReceive(const std::string& bytes, const std::string& peer);
 
  private:
-  void Tell();
-  void PassOn();
-  void Hear(const std::vector<routing::LeafReport>& reports);
+  void SendFindings();
+  void ForwardQueued();
+  void DeliverReports(const std::vector<routing::LeafReport>& reports);
   void Send(const std::string& address, const ReportDatagram& datagram);
   // To be passed on in this failure domain.
-  void Keep(const ReportDatagram& datagram);
+  void QueueForForwarding(const ReportDatagram& datagram);
 
   const base::Clock clock_;
   const base::TaskRunner runner_;
@@ -86,14 +86,14 @@
   const blackboard::Blackboard& blackboard_;
   const ReportPorts ports_;
   // Found here and not told yet.
-  ReportMerge found_;
+  ReportMerge unsent_reports_;
   // Heard, to be passed on in this failure domain.
-  ReportMerge to_pass_on_;
-  std::deque<quarantine::RunReport> runs_to_pass_on_;
-  bool is_passing_on_ = false;
-  base::MonotonicTime passed_on_;
-  base::MonotonicTime told_;
-  bool is_telling_soon_ = false;
+  ReportMerge queued_reports_;
+  std::deque<quarantine::RunReport> queued_runs_;
+  bool is_forward_scheduled_ = false;
+  base::MonotonicTime last_forwarded_;
+  base::MonotonicTime last_sent_;
+  bool is_send_scheduled_ = false;
   bool is_stopped_ = false;
 };
 
--- a/src/gossip/report_merge.cc
+++ b/src/gossip/report_merge.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Four datagrams' worth.
-constexpr std::size_t kMostRows = 64;
+constexpr std::size_t kMaxRows = 64;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   const auto key = std::pair(report.leaf, report.class_name);
   const auto row = rows_.find(key);
   if (row == rows_.end()) {
-    if (rows_.size() < kMostRows) {
+    if (rows_.size() < kMaxRows) {
       rows_.emplace(key, report);
     }
     return;
@@ -32,7 +32,7 @@
   sum.failures += report.failures;
 }
 
-std::vector<routing::LeafReport> ReportMerge::Take(std::size_t most) {
+std::vector<routing::LeafReport> ReportMerge::Take(std::size_t max_count) {
   std::vector<routing::LeafReport> reports;
   for (const auto& [key, report] : rows_) {
     reports.push_back(report);
@@ -41,7 +41,7 @@
                    [](const auto& left, const auto& right) {
                      return left.failures > right.failures;
                    });
-  reports.resize(std::min(most, reports.size()));
+  reports.resize(std::min(max_count, reports.size()));
   for (const routing::LeafReport& report : reports) {
     rows_.erase({report.leaf, report.class_name});
   }
--- a/src/gossip/report_merge.h
+++ b/src/gossip/report_merge.h
@@ -20,7 +20,7 @@
   // is worth more than a queue of old ones.
   void Add(const routing::LeafReport& report);
   // Takes up to `most` out, those with failures first.
-  std::vector<routing::LeafReport> Take(std::size_t most);
+  std::vector<routing::LeafReport> Take(std::size_t max_count);
   bool is_empty() const { return rows_.empty(); }
 
  private:
--- a/tests/gossip/datagram_socket_test.cc
+++ b/tests/gossip/datagram_socket_test.cc
@@ -9,7 +9,7 @@
 namespace medlarspread::gossip {
 namespace {
 
-TEST(DatagramSocketTest, DeliversWhatAnotherSocketSends) {
+TEST(DatagramSocketTest, DeliversDatagramsOfAnotherSocket) {
   boost::asio::io_context context;
   std::string received;
   const auto receiver = std::make_shared<DatagramSocket>(
@@ -31,7 +31,7 @@
   sender->Close();
 }
 
-TEST(DatagramSocketTest, AnAddressInUseIsAnError) {
+TEST(DatagramSocketTest, AddressInUseIsAnError) {
   boost::asio::io_context context;
   const auto ignore = [](const std::string&, const std::string&) {};
   const auto first = std::make_shared<DatagramSocket>(context, ignore);
--- a/tests/gossip/report_codec_test.cc
+++ b/tests/gossip/report_codec_test.cc
@@ -23,7 +23,7 @@
   EXPECT_TRUE(decoded.value().is_to_be_passed_on);
 }
 
-TEST(ReportCodecTest, ReportsThatCantBeAreLeftOut) {
+TEST(ReportCodecTest, ImplausibleReportsAreDropped) {
   const ReportDatagram odd{{{"", "lookup", 1, 0, Milliseconds(1)},
                             {"i-1", "", 1, 0, Milliseconds(1)},
                             {"i-1", "lookup", 0, 0, Milliseconds(1)},
@@ -39,14 +39,14 @@
   EXPECT_EQ(decoded.value().reports.size(), 1U);
 }
 
-TEST(ReportCodecTest, BytesCutShortAreMalformed) {
+TEST(ReportCodecTest, TruncatedBytesAreMalformed) {
   const std::string whole = Encode(MakeDatagram());
   for (std::size_t size = 0; size + 1 < whole.size(); ++size) {
     EXPECT_FALSE(Decode(whole.substr(0, size), "peer").is_ok()) << size;
   }
 }
 
-TEST(ReportCodecTest, RunsThatCantBeAreLeftOut) {
+TEST(ReportCodecTest, ImplausibleRunsAreDropped) {
   const base::MonotonicTime now{10'000'000};
   quarantine::RunReport report;
   report.began = now - Milliseconds(30);
--- a/tests/gossip/report_exchange_test.cc
+++ b/tests/gossip/report_exchange_test.cc
@@ -48,11 +48,11 @@
               },
               [&daemon] { return std::exchange(daemon.found, {}); },
               [&daemon](const LeafReport& report) {
-                daemon.heard.push_back(report);
+                daemon.received.push_back(report);
               },
               [&daemon](std::size_t) { return std::exchange(daemon.runs, {}); },
               [&daemon](const quarantine::RunReport& report) {
-                daemon.heard_runs.push_back(report);
+                daemon.received_runs.push_back(report);
               }});
       daemon.exchange->Start();
     }
@@ -75,10 +75,10 @@
   }
 
   // Daemons that have heard of the leaf.
-  std::size_t HeardOf(const std::string& leaf) const {
+  std::size_t CountReceivers(const std::string& leaf) const {
     std::size_t count = 0;
     for (const auto& [name, daemon] : daemons_) {
-      for (const LeafReport& report : daemon.heard) {
+      for (const LeafReport& report : daemon.received) {
         if (report.leaf == leaf) {
           ++count;
           break;
@@ -91,9 +91,9 @@
   struct Daemon {
     blackboard::Blackboard blackboard;
     std::vector<LeafReport> found;
-    std::vector<LeafReport> heard;
+    std::vector<LeafReport> received;
     std::vector<quarantine::RunReport> runs;
-    std::vector<quarantine::RunReport> heard_runs;
+    std::vector<quarantine::RunReport> received_runs;
     std::shared_ptr<ReportExchange> exchange;
   };
 
@@ -109,34 +109,34 @@
   int datagrams_ = 0;
 };
 
-TEST_F(ReportExchangeTest, AllHearWithinAMoment) {
+TEST_F(ReportExchangeTest, AllDaemonsReceiveAReport) {
   daemons_["n1-5"].found = {{"leaf-1", "lookup", 1, 1, {}}};
   scheduler_->Advance(Milliseconds(110));
   // All but the one that found it, and that one hears of it too.
-  EXPECT_EQ(HeardOf("leaf-1"), daemons_.size());
+  EXPECT_EQ(CountReceivers("leaf-1"), daemons_.size());
   // One to each domain, and one to each other daemon of it.
   EXPECT_EQ(datagrams_, 2 + 2 * (kWeak + 1));
 }
 
-TEST_F(ReportExchangeTest, WithoutNewsNothingIsSent) {
+TEST_F(ReportExchangeTest, SendsNothingWithoutReports) {
   scheduler_->Advance(Milliseconds(10'000));
   EXPECT_EQ(datagrams_, 0);
 }
 
 // A dead relay costs a part of the news, not all of it.
-TEST_F(ReportExchangeTest, ADeadRelayIsGoneRound) {
+TEST_F(ReportExchangeTest, DeadRelaysAreBypassed) {
   dead_ = {"n1-0", "s1-1"};
   for (int round = 0; round < 12; ++round) {
     daemons_["n1-5"].found = {{"leaf-1", "lookup", 1, 1, {}}};
     scheduler_->Advance(Milliseconds(100));
   }
   scheduler_->Advance(Milliseconds(500));
-  EXPECT_EQ(HeardOf("leaf-1"), daemons_.size() - dead_.size());
+  EXPECT_EQ(CountReceivers("leaf-1"), daemons_.size() - dead_.size());
 }
 
 // A storm of findings is merged: a daemon hears from each relay of its domain
 // five times a second at the most.
-TEST_F(ReportExchangeTest, WhatADaemonHearsIsBounded) {
+TEST_F(ReportExchangeTest, ReceivedReportsAreBounded) {
   for (int round = 0; round < 100; ++round) {
     for (auto& [name, daemon] : daemons_) {
       daemon.found = {{"leaf-1", "lookup", 1, 0, Milliseconds(60)},
@@ -150,7 +150,7 @@
   constexpr std::size_t kLeaves = 2;
   for (const auto& [name, daemon] : daemons_) {
     if (members_.members[name].processor_share < 0.5) {
-      EXPECT_LE(daemon.heard.size(),
+      EXPECT_LE(daemon.received.size(),
                 (kSeconds * kTimesASecond + 1) * kRelays * kLeaves)
           << name;
     }
@@ -171,34 +171,34 @@
   EXPECT_TRUE(merge.is_empty());
 }
 
-TEST_F(ReportExchangeTest, LeavesThatAreNotKnownAreLeftOut) {
+TEST_F(ReportExchangeTest, ReportsOfUnknownLeavesAreDropped) {
   const std::string bytes =
       Encode({{{"leaf-9", "lookup", 1, 1, {}}, {"leaf-1", "lookup", 1, 1, {}}},
               false});
   daemons_["n1-5"].exchange->DidReceive(bytes, "peer");
-  ASSERT_EQ(daemons_["n1-5"].heard.size(), 1U);
-  EXPECT_EQ(daemons_["n1-5"].heard[0].leaf, "leaf-1");
+  ASSERT_EQ(daemons_["n1-5"].received.size(), 1U);
+  EXPECT_EQ(daemons_["n1-5"].received[0].leaf, "leaf-1");
 }
 
 // What became of a run does not wait for the next round, and its times are as
 // long ago for whoever hears of it, but for the way of the datagram.
-TEST_F(ReportExchangeTest, RunsAreToldAtOnce) {
+TEST_F(ReportExchangeTest, RunsAreSentAtOnce) {
   quarantine::RunReport report;
   report.fingerprint.bytes[0] = 7;
   report.began = base::MonotonicTime{900'000};
   report.ended = base::MonotonicTime{950'000};
   report.leaf = "leaf-9";
   daemons_["n1-5"].runs = {report};
-  daemons_["n1-5"].exchange->TellSoon();
+  daemons_["n1-5"].exchange->SendSoon();
   scheduler_->Advance(Milliseconds(5));
   for (const auto& [name, daemon] : daemons_) {
-    ASSERT_EQ(daemon.heard_runs.size(), 1U) << name;
-    const quarantine::RunReport& heard = daemon.heard_runs.front();
-    EXPECT_EQ(heard.fingerprint, report.fingerprint);
-    EXPECT_EQ(heard.leaf, "leaf-9");
-    EXPECT_EQ(heard.ended - heard.began, Milliseconds(50));
-    EXPECT_GE(heard.ended, report.ended);
-    EXPECT_LE(heard.ended - report.ended, Milliseconds(2));
+    ASSERT_EQ(daemon.received_runs.size(), 1U) << name;
+    const quarantine::RunReport& received = daemon.received_runs.front();
+    EXPECT_EQ(received.fingerprint, report.fingerprint);
+    EXPECT_EQ(received.leaf, "leaf-9");
+    EXPECT_EQ(received.ended - received.began, Milliseconds(50));
+    EXPECT_GE(received.ended, report.ended);
+    EXPECT_LE(received.ended - report.ended, Milliseconds(2));
   }
 }
 
