--- a/src/relay/update_reader.cc
+++ b/src/relay/update_reader.cc
@@ -108,13 +108,13 @@
   }
   log_.Write({.level = base::LogLevel::kWarning,
               .step = Step::kWatchStore,
-              .message = "the store was restored from a copy: era " +
+              .message = "the store was restored from a backup: era " +
                          std::to_string(era) + " after " +
                          std::to_string(before)});
   did_restore_store_();
   if (current_source_ == kStore) {
     AbortWatch(base::MakeError(ErrorCode::kExpired, Step::kWatchStore, "",
-                               "the store was restored from a copy"));
+                               "the store was restored from a backup"));
   }
 }
 
