--- a/src/gossip/datagram_socket.cc
+++ b/src/gossip/datagram_socket.cc
@@ -1,4 +1,4 @@
-// Asio's UDP socket.
+// Implements the socket with Asio.
 
 #include "src/gossip/datagram_socket.h"
 
@@ -60,8 +60,9 @@
   if (!endpoint.is_ok() || !socket_.is_open()) {
     return;
   }
-  // NOTE: a full buffer or a peer without the port drops it, as the network
-  // may; the next news say the same.
+  // NOTE: the datagram is lost if the buffer is full or nothing listens on the
+  // port, as it may be in the network; later reports carry the same
+  // information.
   boost::system::error_code ignored;
   socket_.send_to(boost::asio::buffer(bytes), endpoint.value(), 0, ignored);
 }
@@ -74,8 +75,8 @@
         if (!self->socket_.is_open()) {
           return;
         }
-        // NOTE: an error is that of an earlier datagram, which its receiver's
-        // host turned away.
+        // NOTE: an error belongs to an earlier datagram, which the receiver's
+        // host rejected.
         if (!error) {
           self->did_receive_(std::string(self->buffer_.data(), size),
                              self->sender_.address().to_string() + ":" +
--- a/src/gossip/datagram_socket.h
+++ b/src/gossip/datagram_socket.h
@@ -1,4 +1,4 @@
-// A UDP socket that sends and receives without waiting.
+// A non-blocking UDP socket.
 
 #ifndef MEDLARSPREAD_GOSSIP_DATAGRAM_SOCKET_H_
 #define MEDLARSPREAD_GOSSIP_DATAGRAM_SOCKET_H_
@@ -23,17 +23,17 @@
 
   DatagramSocket(boost::asio::io_context& context, DidReceive did_receive);
 
-  // Binds to "ip:port" and receives from then on.
+  // Binds to "ip:port" and starts to receive.
   base::Status Open(const std::string& address);
   void Close();
-  // To "ip:port". What can't leave at once is dropped.
+  // Sends to "ip:port". A datagram that cannot be sent at once is dropped.
   void Send(const std::string& address, const std::string& bytes);
 
-  // Once it is open.
+  // Valid while the socket is open.
   int port() const { return socket_.local_endpoint().port(); }
 
  private:
-  // Longer datagrams are cut off, and so no datagram of a daemon.
+  // Longer datagrams are truncated and so fail to decode; daemons send none.
   static constexpr std::size_t kMaxDatagramBytes = 4096;
 
   void Receive();
--- a/src/gossip/report_codec.cc
+++ b/src/gossip/report_codec.cc
@@ -1,4 +1,5 @@
-// Thrift structures over memory buffers.
+// Converts datagrams to and from Thrift structures in memory buffers, and
+// checks the values received.
 
 #include "src/gossip/report_codec.h"
 
@@ -23,7 +24,7 @@
 using quarantine::RunReport;
 using routing::LeafReport;
 
-// No daemon sees more replies within the time of a report.
+// No daemon gets more replies than this in the time that a report covers.
 constexpr int kMaxReplies = 10'000;
 constexpr base::Duration kMaxWork = base::Milliseconds(600'000);
 
@@ -34,7 +35,8 @@
          report.work >= base::Duration{} && report.work <= kMaxWork;
 }
 
-// Runs that ended longer ago than any evidence is kept are no daemon's word.
+// A run that began longer ago than any evidence is kept cannot be reported by a
+// daemon.
 constexpr base::Duration kMaxRunAge = base::Milliseconds(3'600'000);
 
 peer::wire::RunReport ToWire(const RunReport& report, base::MonotonicTime now) {
@@ -100,7 +102,7 @@
     auto buffer = std::make_shared<TMemoryBuffer>();
     buffer->write(reinterpret_cast<const std::uint8_t*>(bytes.data()),
                   static_cast<std::uint32_t>(bytes.size()));
-    // A length that the bytes claim must not make room for more than they are.
+    // A length field must not cause an allocation larger than the datagram.
     TCompactProtocolT<TMemoryBuffer> protocol(
         buffer, static_cast<std::int32_t>(bytes.size()),
         static_cast<std::int32_t>(kMaxReports));
--- a/src/gossip/report_codec.h
+++ b/src/gossip/report_codec.h
@@ -1,4 +1,5 @@
-// Reports of leaves between daemons as datagrams: Thrift's compact protocol.
+// Serializes the leaf reports that daemons exchange as datagrams, in Thrift's
+// compact protocol.
 
 #ifndef MEDLARSPREAD_GOSSIP_REPORT_CODEC_H_
 #define MEDLARSPREAD_GOSSIP_REPORT_CODEC_H_
@@ -14,24 +15,24 @@
 
 namespace medlarspread::gossip {
 
-// So that a datagram of them stays below what one packet carries.
+// The most reports of each kind in a datagram, so that it fits into one packet.
 constexpr std::size_t kMaxReports = 16;
 constexpr std::size_t kMaxRuns = 6;
 
 struct ReportDatagram {
   std::vector<routing::LeafReport> reports;
-  // Whether the receiver is to pass them on in its failure domain.
+  // Whether the receiver should forward them in its failure domain.
   bool is_to_be_passed_on = false;
   std::vector<quarantine::RunReport> runs = {};
 };
 
-// The clocks of two daemons need not agree: times of runs travel as ages, and
-// `now` is the time by the clock of the daemon that calls. The way of the
-// datagram makes them look later by so much.
+// Times of runs are sent as ages, because the clocks of two daemons may differ.
+// `now` is the time by the caller's clock. The receiver sees the times late by
+// the time that the datagram travelled.
 std::string Encode(const ReportDatagram& datagram,
                    base::MonotonicTime now = {});
-// kMalformed if the bytes are no datagram or hold more than kMaxReports.
-// Reports with impossible figures are left out.
+// Fails with kMalformed if the bytes are not a datagram or hold a list of more
+// than kMaxReports entries. Reports with implausible values are dropped.
 base::Result<ReportDatagram> Decode(const std::string& bytes,
                                     const std::string& peer,
                                     base::MonotonicTime now = {});
--- a/src/gossip/report_exchange.cc
+++ b/src/gossip/report_exchange.cc
@@ -1,4 +1,4 @@
-// Who is told, and when.
+// Chooses the receivers and the times of datagrams.
 
 #include "src/gossip/report_exchange.h"
 
@@ -10,22 +10,25 @@
 
 namespace {
 
-// How often a daemon looks whether it has something to tell. Seldom enough for
-// a fleet of 1,500 to send its strong daemons some hundred datagrams a second
-// each, and a fraction of the second within which the whole fleet should know.
+// How often a daemon sends its observations. At this interval each relay in a
+// fleet of 1,500 receives some hundred datagrams a second, and the whole fleet
+// is still informed within a fraction of a second.
 constexpr base::Duration kSendInterval = base::Milliseconds(100);
-// What should not wait goes out at the next turn, but no more often than this.
+// The least interval between sends of reports that should not wait for the next
+// regular one.
 constexpr base::Duration kMinSendInterval = base::Milliseconds(10);
 constexpr base::Duration kForwardInterval = base::Milliseconds(200);
-// A daemon with this part of the strongest one's processor passes reports on.
+// A daemon is a relay if its processor share is at least this fraction of the
+// strongest one's.
 constexpr double kStrongShareRatio = 0.5;
-// Runs that wait to be passed on; each is told more than once.
+// The most runs that wait to be forwarded. Each is reported more than once, so
+// a dropped one comes again.
 constexpr std::size_t kMaxQueuedRuns = 4 * kMaxRuns;
 
 using blackboard::Member;
 using blackboard::MembershipView;
 
-// Those that pass reports on in each failure domain.
+// The relays of each failure domain.
 std::map<std::string, std::vector<const Member*>> FindRelays(
     const MembershipView& view) {
   std::map<std::string, double> strongest;
--- a/src/gossip/report_exchange.h
+++ b/src/gossip/report_exchange.h
@@ -1,22 +1,24 @@
-// Tells the other daemons what this one found of leaves that it seldom sends
-// to, and hears what they found.
+// Shares this daemon's observations of leaves with the other daemons, and
+// receives theirs.
 //
-// In a fleet of hundreds a daemon sends a request to a single collection once
-// in seconds: before it has learnt that a leaf fails or is slow, the trouble is
-// over, and every other daemon pays for the same lesson.
+// In a fleet of hundreds of daemons, one daemon sends to a given collection
+// only once in several seconds. Alone, it would learn that a leaf fails or is
+// slow only after the fault is over, and each of the other daemons would pay
+// for learning the same.
 //
 // Steps:
-//   1. What was found is sent in one datagram to one strong daemon of each
-//      failure domain, drawn anew each time, so that one that is dead or frozen
-//      costs a part of the news and not all.
-//   2. That daemon merges what it got and passes it on to those of its domain.
-//   3. Whoever hears of a leaf counts it as replies of its own of less weight.
+//   1. The observations are sent in one datagram to one relay of each failure
+//      domain. Relays are the strong daemons; one is drawn at random each time,
+//      so that a dead or frozen one loses only a part of the reports.
+//   2. The relay merges the reports that it receives and forwards them in its
+//      domain.
+//   3. Each receiver counts a report like replies of its own, with less weight.
 //
-// What became of runs of a suspect request goes the same way.
+// Reports about the runs of a suspect request take the same path.
 //
-// Both go out at once, but seldom enough to bound what is sent: a daemon hears
-// no more than kMaxReports every kForwardInterval from each strong daemon of
-// its domain, some 2 KB/s. Datagrams may be lost; nothing waits for them.
+// Both are sent promptly, but the rate is bounded: a daemon receives at most
+// kMaxReports every kForwardInterval from each relay of its domain, about 2
+// KB/s. Datagrams may be lost; nothing waits for them.
 //
 // Runs on the traffic thread.
 
@@ -44,15 +46,15 @@
 struct ReportPorts {
   // Sends a datagram to "ip:port". It may be lost.
   std::function<void(const std::string& address, std::string bytes)> send;
-  // What this daemon has found since the last call.
+  // Returns this daemon's observations since the last call.
   std::function<std::vector<routing::LeafReport>()> collect;
-  // Another daemon's finding of a leaf that is known here.
+  // Receives another daemon's report about a leaf that is known here.
   std::function<void(const routing::LeafReport&)> did_receive_report;
-  // What is to be told of runs now, at most so many reports.
+  // Returns the reports about runs that are due, at most `max_count`.
   std::function<std::vector<quarantine::RunReport>(std::size_t max_count)>
       collect_runs =
           [](std::size_t) { return std::vector<quarantine::RunReport>(); };
-  // Another daemon's finding of a run.
+  // Receives another daemon's report about a run.
   std::function<void(const quarantine::RunReport&)> did_receive_run =
       [](const quarantine::RunReport&) {};
 };
@@ -67,9 +69,9 @@
 
   void Start();
   void Stop() { is_stopped_ = true; }
-  // There is something to collect that should not wait for the next round.
+  // Sends before the next regular interval, for reports that should not wait.
   void SendSoon();
-  // Bytes that are no datagram of a daemon are left out.
+  // Ignores bytes that are not a valid datagram.
   void DidReceive(const std::string& bytes, const std::string& peer);
 
  private:
@@ -77,7 +79,7 @@
   void ForwardQueued();
   void DeliverReports(const std::vector<routing::LeafReport>& reports);
   void Send(const std::string& address, const ReportDatagram& datagram);
-  // To be passed on in this failure domain.
+  // Adds the reports to those to be forwarded in this failure domain.
   void QueueForForwarding(const ReportDatagram& datagram);
 
   const base::Clock clock_;
@@ -85,9 +87,9 @@
   const std::shared_ptr<base::Random> random_;
   const blackboard::Blackboard& blackboard_;
   const ReportPorts ports_;
-  // Found here and not told yet.
+  // This daemon's observations that are not sent yet.
   ReportMerge unsent_reports_;
-  // Heard, to be passed on in this failure domain.
+  // Received reports to be forwarded in this failure domain.
   ReportMerge queued_reports_;
   std::deque<quarantine::RunReport> queued_runs_;
   bool is_forward_scheduled_ = false;
--- a/src/gossip/report_merge.cc
+++ b/src/gossip/report_merge.cc
@@ -1,4 +1,4 @@
-// One row for each leaf and class of work.
+// Keeps one report for each leaf and class of work.
 
 #include "src/gossip/report_merge.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Four datagrams' worth.
+// As many as fit into four datagrams.
 constexpr std::size_t kMaxRows = 64;
 
 }  // namespace
--- a/src/gossip/report_merge.h
+++ b/src/gossip/report_merge.h
@@ -1,4 +1,4 @@
-// Reports that wait to be sent, merged by leaf and class of work.
+// A queue of leaf reports, merged by leaf and class of work.
 
 #ifndef MEDLARSPREAD_GOSSIP_REPORT_MERGE_H_
 #define MEDLARSPREAD_GOSSIP_REPORT_MERGE_H_
@@ -13,13 +13,13 @@
 
 namespace medlarspread::gossip {
 
-// Pure bookkeeping; calls come from one sequence.
+// Bookkeeping only; not thread-safe.
 class ReportMerge {
  public:
-  // Reports beyond a bound are left out: what is told once more a moment later
-  // is worth more than a queue of old ones.
+  // Reports beyond a bound are dropped: a fresh report a moment later is worth
+  // more than a queue of old ones.
   void Add(const routing::LeafReport& report);
-  // Takes up to `most` out, those with failures first.
+  // Removes and returns up to `max_count` reports, those with failures first.
   std::vector<routing::LeafReport> Take(std::size_t max_count);
   bool is_empty() const { return rows_.empty(); }
 
--- a/tests/gossip/datagram_socket_test.cc
+++ b/tests/gossip/datagram_socket_test.cc
@@ -1,4 +1,4 @@
-// Datagrams over loopback.
+// Tests DatagramSocket over the loopback interface.
 
 #include "src/gossip/datagram_socket.h"
 
@@ -21,7 +21,7 @@
       context, [](const std::string&, const std::string&) {});
   ASSERT_TRUE(receiver->Open("127.0.0.1:0").is_ok());
   ASSERT_TRUE(sender->Open("127.0.0.1:0").is_ok());
-  // Nobody listens there, which says nothing of the next one.
+  // Nothing listens on that port; the next datagram must still arrive.
   sender->Send("127.0.0.1:9", "lost");
   sender->Send("nowhere", "lost");
   sender->Send("127.0.0.1:" + std::to_string(receiver->port()), "found");
--- a/tests/gossip/report_codec_test.cc
+++ b/tests/gossip/report_codec_test.cc
@@ -1,4 +1,4 @@
-// Datagrams of daemons, and bytes that are none.
+// Tests that datagrams survive encoding and that invalid bytes are rejected.
 
 #include "src/gossip/report_codec.h"
 
--- a/tests/gossip/report_exchange_test.cc
+++ b/tests/gossip/report_exchange_test.cc
@@ -1,4 +1,5 @@
-// Who hears of what, through relays that live and that don't, in virtual time.
+// Tests which daemons receive reports, through live and dead relays, in virtual
+// time.
 
 #include "src/gossip/report_exchange.h"
 
@@ -74,7 +75,7 @@
     });
   }
 
-  // Daemons that have heard of the leaf.
+  // The number of daemons that have received a report about the leaf.
   std::size_t CountReceivers(const std::string& leaf) const {
     std::size_t count = 0;
     for (const auto& [name, daemon] : daemons_) {
@@ -112,9 +113,10 @@
 TEST_F(ReportExchangeTest, AllDaemonsReceiveAReport) {
   daemons_["n1-5"].found = {{"leaf-1", "lookup", 1, 1, {}}};
   scheduler_->Advance(Milliseconds(110));
-  // All but the one that found it, and that one hears of it too.
+  // All daemons, including the one that made the observation.
   EXPECT_EQ(CountReceivers("leaf-1"), daemons_.size());
-  // One to each domain, and one to each other daemon of it.
+  // One datagram to each domain, and one from the relay to each other daemon of
+  // it.
   EXPECT_EQ(datagrams_, 2 + 2 * (kWeak + 1));
 }
 
@@ -123,7 +125,8 @@
   EXPECT_EQ(datagrams_, 0);
 }
 
-// A dead relay costs a part of the news, not all of it.
+// Guards against losing all reports when a relay is dead: another one is drawn
+// for the next datagram.
 TEST_F(ReportExchangeTest, DeadRelaysAreBypassed) {
   dead_ = {"n1-0", "s1-1"};
   for (int round = 0; round < 12; ++round) {
@@ -134,8 +137,9 @@
   EXPECT_EQ(CountReceivers("leaf-1"), daemons_.size() - dead_.size());
 }
 
-// A storm of findings is merged: a daemon hears from each relay of its domain
-// five times a second at the most.
+// Guards against overload by many reports at once: they are merged, so that a
+// daemon receives at most five datagrams a second from each relay of its
+// domain.
 TEST_F(ReportExchangeTest, ReceivedReportsAreBounded) {
   for (int round = 0; round < 100; ++round) {
     for (auto& [name, daemon] : daemons_) {
@@ -180,8 +184,8 @@
   EXPECT_EQ(daemons_["n1-5"].received[0].leaf, "leaf-1");
 }
 
-// What became of a run does not wait for the next round, and its times are as
-// long ago for whoever hears of it, but for the way of the datagram.
+// Reports about runs do not wait for the next interval, and their times are
+// right at the receiver except for the time that the datagram travelled.
 TEST_F(ReportExchangeTest, RunsAreSentAtOnce) {
   quarantine::RunReport report;
   report.fingerprint.bytes[0] = 7;
