--- a/src/targets/change_session.cc
+++ b/src/targets/change_session.cc
@@ -25,7 +25,7 @@
 // Whether a mark that only the store's record has belongs to a change that the
 // record in force came after. If not, it is of a line of records that a
 // restored store started and that no daemon has put in force.
-bool IsBeforeMarksOf(const ChangeMark& mark, const TargetsRecord& in_force) {
+bool PrecedesMarksOf(const ChangeMark& mark, const TargetsRecord& in_force) {
   return !in_force.changes.empty() &&
          mark.revision < in_force.changes.front().revision;
 }
@@ -55,7 +55,7 @@
 }
 
 void ChangeSession::Read() {
-  revision_when_asked_ = held_->revision();
+  revision_at_call_ = held_->revision();
   store_.read(kTargetsKey, settings_.store_timeout,
               [self = shared_from_this()](
                   const base::Result<std::optional<Entry>>& result) {
@@ -65,40 +65,42 @@
 
 void ChangeSession::DidRead(base::Result<std::optional<Entry>> result) {
   if (!result.is_ok()) {
-    if (unsettled_version_) {
-      RetryOrGiveUp(result.error());
+    if (pending_write_version_) {
+      RetryOrFail(result.error());
     } else {
-      GiveUp(result.error());
+      FinishWithError(result.error());
     }
     return;
   }
   const std::optional<Entry>& entry = result.value();
   const std::int64_t version = entry ? entry->version : store::kAbsent;
-  if (unsettled_version_ && *unsettled_version_ != version) {
+  if (pending_write_version_ && *pending_write_version_ != version) {
     // The version it expected is gone: it took effect by now or never will.
-    unsettled_version_.reset();
+    pending_write_version_.reset();
   }
   std::optional<TargetsRecord> stored;
-  if (held_->DidReadStore(entry, revision_when_asked_) ==
+  if (held_->DidReadStore(entry, revision_at_call_) ==
       OfferOutcome::kMalformed) {
-    GiveUp(base::MakeError(ErrorCode::kMalformed, Step::kReadStore, "store",
-                           "the stored targets can't be read"));
+    FinishWithError(base::MakeError(ErrorCode::kMalformed, Step::kReadStore,
+                                    "store",
+                                    "the stored targets can't be read"));
     return;
   }
   if (entry) {
     stored = DecodeRecord(entry->value).value();
   }
-  if (FinishIfMade(stored)) {
+  if (FinishIfRecorded(stored)) {
     return;
   }
   ApplyOn(version);
 }
 
-bool ChangeSession::FinishIfMade(const std::optional<TargetsRecord>& stored) {
+bool ChangeSession::FinishIfRecorded(
+    const std::optional<TargetsRecord>& stored) {
   const ChangeMark* mark = FindMark(held_->record(), change_.change_id);
   if (mark == nullptr && stored) {
     const ChangeMark* old = FindMark(*stored, change_.change_id);
-    mark = old != nullptr && IsBeforeMarksOf(*old, held_->record()) ? old
+    mark = old != nullptr && PrecedesMarksOf(*old, held_->record()) ? old
                                                                     : nullptr;
   }
   if (mark == nullptr) {
@@ -115,12 +117,12 @@
 void ChangeSession::ApplyOn(std::int64_t version) {
   if (peers_->HighestLive() > held_->revision()) {
     peers_->RequestNow();
-    RetryOrGiveUp(base::MakeError(ErrorCode::kUnavailable, Step::kTargets, "",
-                                  "another VM holds a higher revision"));
+    RetryOrFail(base::MakeError(ErrorCode::kUnavailable, Step::kTargets, "",
+                                "another VM holds a higher revision"));
     return;
   }
   const TargetsRecord& base = held_->record();
-  if (auto winner = FindWinner()) {
+  if (auto winner = FindConflict()) {
     Finish(std::move(*winner));
     return;
   }
@@ -137,7 +139,7 @@
   Write(ApplyChange(base, change_, peers_->HighestSeen()), version);
 }
 
-std::optional<ChangeLost> ChangeSession::FindWinner() {
+std::optional<ChangeLost> ChangeSession::FindConflict() {
   const TargetsRecord& base = held_->record();
   if (change_.expected_revision) {
     if (*change_.expected_revision == base.revision) {
@@ -148,12 +150,12 @@
                                          : base.changes.back().change_id};
   }
   const auto targets = FindClass(base, ClassNameOf(change_));
-  if (!has_first_base_) {
-    has_first_base_ = true;
-    first_targets_ = targets;
+  if (!has_initial_targets_) {
+    has_initial_targets_ = true;
+    initial_targets_ = targets;
     return std::nullopt;
   }
-  if (targets == first_targets_) {
+  if (targets == initial_targets_) {
     return std::nullopt;
   }
   const ChangeMark* mark = FindLastMarkOfClass(base, ClassNameOf(change_));
@@ -179,19 +181,19 @@
   }
   const base::Error& error = result.error();
   if (error.code == ErrorCode::kConflict) {
-    RetryOrGiveUp(error);
+    RetryOrFail(error);
     return;
   }
   if (error.code == ErrorCode::kUnknownOutcome) {
-    unsettled_version_ = version;
-    RetryOrGiveUp(error);
+    pending_write_version_ = version;
+    RetryOrFail(error);
     return;
   }
   // This write was not made, but an earlier one may have been.
-  if (unsettled_version_) {
-    RetryOrGiveUp(error);
+  if (pending_write_version_) {
+    RetryOrFail(error);
   } else {
-    GiveUp(error);
+    FinishWithError(error);
   }
 }
 
@@ -203,23 +205,23 @@
   }
   // Meanwhile a peer has shown that the store was restored: what was written
   // is on top of the wrong record, and no other daemon puts it in force.
-  unsettled_version_ = version;
-  RetryOrGiveUp(base::MakeError(ErrorCode::kConflict, Step::kTargets, "",
-                                "a higher revision came into force"));
+  pending_write_version_ = version;
+  RetryOrFail(base::MakeError(ErrorCode::kConflict, Step::kTargets, "",
+                              "a higher revision came into force"));
 }
 
-void ChangeSession::RetryOrGiveUp(const base::Error& error) {
+void ChangeSession::RetryOrFail(const base::Error& error) {
   const base::MonotonicTime next = clock_.Now() + settings_.change_retry;
   if (next + settings_.store_timeout > deadline_) {
-    GiveUp(error);
+    FinishWithError(error);
     return;
   }
   control_.After(settings_.change_retry,
                  [self = shared_from_this()] { self->Read(); });
 }
 
-void ChangeSession::GiveUp(const base::Error& error) {
-  if (unsettled_version_) {
+void ChangeSession::FinishWithError(const base::Error& error) {
+  if (pending_write_version_) {
     Finish(ChangeUnknown{error});
   } else {
     Finish(ChangeRefused{error, settings_.retry_after});
--- a/src/targets/change_session.h
+++ b/src/targets/change_session.h
@@ -46,10 +46,10 @@
   void Read();
   void DidRead(base::Result<std::optional<store::Entry>> result);
   // Whether the change was found, and the session therefore ended.
-  bool FinishIfMade(const std::optional<TargetsRecord>& stored);
+  bool FinishIfRecorded(const std::optional<TargetsRecord>& stored);
   void ApplyOn(std::int64_t version);
   // The change that this one loses to, if it does.
-  std::optional<ChangeLost> FindWinner();
+  std::optional<ChangeLost> FindConflict();
   void Write(const TargetsRecord& next, std::int64_t version);
   void DidWrite(base::Result<std::int64_t> result,
                 const std::string& body,
@@ -57,9 +57,9 @@
   void DidStore(const std::string& body, std::int64_t version);
 
   // Goes on while time is left. `error` is reported once it is not.
-  void RetryOrGiveUp(const base::Error& error);
+  void RetryOrFail(const base::Error& error);
   // Says "refused", or "unknown" if a write may still have taken effect.
-  void GiveUp(const base::Error& error);
+  void FinishWithError(const base::Error& error);
   void Finish(ChangeOutcome outcome);
 
   const TargetsSettings settings_;
@@ -73,15 +73,15 @@
   const base::MonotonicTime deadline_;
 
   // What was in force here when the store was asked last.
-  std::int64_t revision_when_asked_ = 0;
+  std::int64_t revision_at_call_ = 0;
   // As long as the store shows this version, an earlier write of this session
   // may still come into force: one of unknown outcome that expected it, or one
   // that led to it but is below what came into force here meanwhile.
-  std::optional<std::int64_t> unsettled_version_;
+  std::optional<std::int64_t> pending_write_version_;
   // The class as it was when the change was first applied, to notice that
   // another operator has changed the same class since.
-  bool has_first_base_ = false;
-  std::optional<blackboard::ClassTargets> first_targets_;
+  bool has_initial_targets_ = false;
+  std::optional<blackboard::ClassTargets> initial_targets_;
 };
 
 }  // namespace medlarspread::targets
--- a/src/targets/held_targets.cc
+++ b/src/targets/held_targets.cc
@@ -41,7 +41,7 @@
 }
 
 OfferOutcome HeldTargets::DidReadStore(const std::optional<store::Entry>& entry,
-                                       std::int64_t revision_when_asked) {
+                                       std::int64_t revision_at_call) {
   std::int64_t store_revision = 0;
   OfferOutcome outcome = OfferOutcome::kLower;
   if (entry) {
@@ -55,17 +55,17 @@
     }
     store_revision = record.value().revision;
   } else {
-    DidLearnAbsence();
+    DidFindNoTargets();
     outcome = revision() == 0 ? OfferOutcome::kSame : OfferOutcome::kLower;
   }
   if (outcome != OfferOutcome::kLower) {
     ClearStoreAlarms();
     return outcome;
   }
-  if (store_revision >= revision_when_asked) {
+  if (store_revision >= revision_at_call) {
     return OfferOutcome::kStale;
   }
-  DidKeepOutLower(store_revision);
+  DidRejectLower(store_revision);
   return OfferOutcome::kLower;
 }
 
@@ -90,7 +90,7 @@
   alarms_.Write(std::move(alarms));
 }
 
-void HeldTargets::DidLearnAbsence() {
+void HeldTargets::DidFindNoTargets() {
   if (is_known_) {
     return;
   }
@@ -135,7 +135,7 @@
       {record_.revision, digest_, record_.classes, clock_.WallMilliseconds()});
 }
 
-void HeldTargets::DidKeepOutLower(std::int64_t store_revision) {
+void HeldTargets::DidRejectLower(std::int64_t store_revision) {
   TargetsAlarms alarms = *alarms_.Read();
   if (alarms.reverted_store_revision == store_revision) {
     return;
--- a/src/targets/held_targets.h
+++ b/src/targets/held_targets.h
@@ -48,14 +48,14 @@
   // was in force here at that time. A revision below the latter, or none, is
   // what a restore leaves behind: kept out and an alarm until it is gone.
   OfferOutcome DidReadStore(const std::optional<store::Entry>& entry,
-                            std::int64_t revision_when_asked);
+                            std::int64_t revision_at_call);
   void DidFailToReadStore(const base::Error& error);
   // Another daemon reads from now on: the alarms about the store are its own.
   void DidStopReadingStore();
 
   // A peer that has nothing stored either counts as a source: the empty record
   // becomes known, unless something else is.
-  void DidLearnAbsence();
+  void DidFindNoTargets();
 
   // A peer holds other targets under the revision in force.
   void DidSeeOtherDigest(const std::string& peer);
@@ -74,7 +74,7 @@
  private:
   void Apply(TargetsRecord record, std::string body, const std::string& origin);
   void WriteView();
-  void DidKeepOutLower(std::int64_t store_revision);
+  void DidRejectLower(std::int64_t store_revision);
   void ClearStoreAlarms();
   void Warn(const std::string& peer, std::string message) const;
 
--- a/src/targets/peer_exchange.cc
+++ b/src/targets/peer_exchange.cc
@@ -33,7 +33,7 @@
   revisions_[peer] = revision;
   highest_seen_ = std::max(highest_seen_, revision);
   if (revision == 0) {
-    held_->DidLearnAbsence();
+    held_->DidFindNoTargets();
     return;
   }
   if (revision == held_->revision() && digest != held_->digest()) {
--- a/src/targets/route_controller.cc
+++ b/src/targets/route_controller.cc
@@ -13,7 +13,7 @@
   const std::string age =
       origin.age ? std::to_string(origin.age->count() / 1000) + " ms old"
                  : "of unknown age";
-  return ToString(origin.position) + ", from " + origin.place + ", " + age;
+  return ToString(origin.position) + ", from " + origin.source + ", " + age;
 }
 
 }  // namespace
--- a/src/targets/route_controller.h
+++ b/src/targets/route_controller.h
@@ -19,7 +19,7 @@
   // Where they stand in the store.
   store::Position position;
   // "the store", or the address of the peer that passed them on.
-  std::string place;
+  std::string source;
   // How long ago the store had last answered whoever read it; absent if that is
   // not known.
   std::optional<base::Duration> age;
--- a/src/targets/store_reader.cc
+++ b/src/targets/store_reader.cc
@@ -80,7 +80,7 @@
     StepAfter(Jitter(settings_.role_interval, random_));
     return;
   }
-  revision_when_asked_ = held_->revision();
+  revision_at_call_ = held_->revision();
   if (should_watch_) {
     Watch();
   } else {
@@ -135,8 +135,7 @@
 void StoreReader::DidLearn(const std::optional<Entry>& entry) {
   backoff_ = base::Duration(0);
   version_ = entry ? entry->version : store::kAbsent;
-  if (held_->DidReadStore(entry, revision_when_asked_) ==
-      OfferOutcome::kLower) {
+  if (held_->DidReadStore(entry, revision_at_call_) == OfferOutcome::kLower) {
     ScheduleRepair(version_);
   }
 }
--- a/src/targets/store_reader.h
+++ b/src/targets/store_reader.h
@@ -69,7 +69,7 @@
   // The version last seen; kAbsent if the key does not exist.
   std::int64_t version_ = store::kAbsent;
   // What was in force here when the call under way was made.
-  std::int64_t revision_when_asked_ = 0;
+  std::int64_t revision_at_call_ = 0;
   // Zero after a call that succeeded.
   base::Duration backoff_{};
 };
--- a/src/targets/targets_controller.cc
+++ b/src/targets/targets_controller.cc
@@ -18,7 +18,7 @@
 // How often a starting daemon looks whether it has become ready.
 constexpr base::Duration kReadyInterval = base::Milliseconds(50);
 
-base::Error NotNow(base::ErrorCode code, std::string detail) {
+base::Error MakeRefusal(base::ErrorCode code, std::string detail) {
   return base::MakeError(code, base::Step::kTargets, "", std::move(detail));
 }
 
@@ -122,18 +122,19 @@
 
 std::optional<base::Error> TargetsController::Impl::FindObstacle() const {
   if (is_stopped_) {
-    return NotNow(base::ErrorCode::kStopping, "this VM is stopping");
+    return MakeRefusal(base::ErrorCode::kStopping, "this VM is stopping");
   }
   if (!is_ready_) {
-    return NotNow(base::ErrorCode::kUnavailable,
-                  "this VM has not learnt the targets yet");
+    return MakeRefusal(base::ErrorCode::kUnavailable,
+                       "this VM has not learnt the targets yet");
   }
   if (!is_settled()) {
-    return NotNow(base::ErrorCode::kUnavailable,
-                  "this VM does not know its peers now");
+    return MakeRefusal(base::ErrorCode::kUnavailable,
+                       "this VM does not know its peers now");
   }
   if (changes_ >= settings_.max_changes) {
-    return NotNow(base::ErrorCode::kOverloaded, "too many changes at once");
+    return MakeRefusal(base::ErrorCode::kOverloaded,
+                       "too many changes at once");
   }
   return std::nullopt;
 }
