--- a/src/targets/change_session.cc
+++ b/src/targets/change_session.cc
@@ -1,4 +1,4 @@
-// The steps of a change.
+// Implements the steps of a change.
 
 #include "src/targets/change_session.h"
 
@@ -22,8 +22,8 @@
   return found->second;
 }
 
-// Whether a mark that only the store's record has belongs to a change that the
-// record in force came after. If not, it is of a line of records that a
+// Whether a mark that only the store's record has belongs to a change older
+// than all marks of the record in force. If not, it is from a history that a
 // restored store started and that no daemon has put in force.
 bool PrecedesMarksOf(const ChangeMark& mark, const TargetsRecord& in_force) {
   return !in_force.changes.empty() &&
@@ -75,7 +75,8 @@
   const std::optional<Entry>& entry = result.value();
   const std::int64_t version = entry ? entry->version : store::kAbsent;
   if (pending_write_version_ && *pending_write_version_ != version) {
-    // The version it expected is gone: it took effect by now or never will.
+    // The expected version is gone: the write has taken effect by now or never
+    // will.
     pending_write_version_.reset();
   }
   std::optional<TargetsRecord> stored;
@@ -83,7 +84,7 @@
       OfferOutcome::kMalformed) {
     FinishWithError(base::MakeError(ErrorCode::kMalformed, Step::kReadStore,
                                     "store",
-                                    "the stored targets can't be read"));
+                                    "the stored targets cannot be parsed"));
     return;
   }
   if (entry) {
@@ -118,7 +119,7 @@
   if (peers_->HighestLive() > held_->revision()) {
     peers_->RequestNow();
     RetryOrFail(base::MakeError(ErrorCode::kUnavailable, Step::kTargets, "",
-                                "another VM holds a higher revision"));
+                                "another VM has a higher revision in force"));
     return;
   }
   const TargetsRecord& base = held_->record();
@@ -133,7 +134,7 @@
     return;
   }
   if (!is_known_class && base.classes.size() >= kMaxClasses) {
-    Finish(ChangeInvalid{"name", "there are as many classes as there can be"});
+    Finish(ChangeInvalid{"name", "the maximum number of classes is reached"});
     return;
   }
   Write(ApplyChange(base, change_, peers_->HighestSeen()), version);
@@ -203,11 +204,12 @@
     Finish(ChangeAccepted{DecodeRecord(body).value().revision});
     return;
   }
-  // Meanwhile a peer has shown that the store was restored: what was written
-  // is on top of the wrong record, and no other daemon puts it in force.
+  // A peer has shown meanwhile that the store was restored: the write was based
+  // on the wrong record, and no other daemon puts it in force.
   pending_write_version_ = version;
-  RetryOrFail(base::MakeError(ErrorCode::kConflict, Step::kTargets, "",
-                              "a higher revision came into force"));
+  RetryOrFail(
+      base::MakeError(ErrorCode::kConflict, Step::kTargets, "",
+                      "a higher revision came into force during the write"));
 }
 
 void ChangeSession::RetryOrFail(const base::Error& error) {
--- a/src/targets/change_session.h
+++ b/src/targets/change_session.h
@@ -1,6 +1,7 @@
-// One change of the targets, from the operator's request to its outcome. It
-// lives through lost replies, outages, races with other operators and stores
-// that were restored, and says "accepted" only of what is in the store.
+// Carries out one change of the targets, from the operator's request to its
+// outcome. Handles lost replies, store outages, concurrent changes by other
+// operators and restored stores. Reports a change as accepted only if it is in
+// the store.
 
 #ifndef MEDLARSPREAD_TARGETS_CHANGE_SESSION_H_
 #define MEDLARSPREAD_TARGETS_CHANGE_SESSION_H_
@@ -32,23 +33,24 @@
                 TargetsChange change,
                 ChangeCallback callback);
 
-  // 1. The record is read and offered to this daemon like any other.
-  // 2. If the change is recorded in it, it was made: accepted.
-  // 3. If a live daemon holds a higher revision, its body is fetched first.
-  // 4. The change is checked against the revision in force and applied to it;
-  //    that is the record read, or a higher one if the store was restored.
-  // 5. The result is written by compare-and-swap on the version read. Success:
-  //    accepted, if it came into force here. Else, or on a conflict or an
-  //    unknown outcome: go to 1.
+  // Steps:
+  //   1. Read the record and offer it to this daemon like any other.
+  //   2. If the record lists the change, it was made: accepted.
+  //   3. If a live daemon has a higher revision, fetch its body first.
+  //   4. Check the change against the revision in force and apply it to that.
+  //      This is the record read, or a higher one if the store was restored.
+  //   5. Write the result by compare-and-swap on the version read. On success,
+  //      if it came into force here: accepted. Otherwise, or after a conflict
+  //      or an unknown outcome: go to 1.
   void Start();
 
  private:
   void Read();
   void DidRead(base::Result<std::optional<store::Entry>> result);
-  // Whether the change was found, and the session therefore ended.
+  // Finishes if the change is recorded already; returns whether it did.
   bool FinishIfRecorded(const std::optional<TargetsRecord>& stored);
   void ApplyOn(std::int64_t version);
-  // The change that this one loses to, if it does.
+  // Returns the change that this one conflicts with, if there is one.
   std::optional<ChangeLost> FindConflict();
   void Write(const TargetsRecord& next, std::int64_t version);
   void DidWrite(base::Result<std::int64_t> result,
@@ -56,9 +58,10 @@
                 std::int64_t version);
   void DidStore(const std::string& body, std::int64_t version);
 
-  // Goes on while time is left. `error` is reported once it is not.
+  // Reads again after a pause, or finishes with `error` if no time is left.
   void RetryOrFail(const base::Error& error);
-  // Says "refused", or "unknown" if a write may still have taken effect.
+  // Finishes with ChangeRefused, or with ChangeUnknown if a write may still
+  // take effect.
   void FinishWithError(const base::Error& error);
   void Finish(ChangeOutcome outcome);
 
@@ -72,14 +75,15 @@
   ChangeCallback callback_;
   const base::MonotonicTime deadline_;
 
-  // What was in force here when the store was asked last.
+  // The revision in force here when the last read of the store was sent.
   std::int64_t revision_at_call_ = 0;
-  // As long as the store shows this version, an earlier write of this session
-  // may still come into force: one of unknown outcome that expected it, or one
-  // that led to it but is below what came into force here meanwhile.
+  // As long as the store holds this version, an earlier write of this session
+  // may still come into force: one of unknown outcome that expected the
+  // version, or one that produced it but is below the revision that came into
+  // force here meanwhile.
   std::optional<std::int64_t> pending_write_version_;
-  // The class as it was when the change was first applied, to notice that
-  // another operator has changed the same class since.
+  // The class as it was when the change was first applied, to detect a change
+  // of the same class by another operator since.
   bool has_initial_targets_ = false;
   std::optional<blackboard::ClassTargets> initial_targets_;
 };
--- a/src/targets/class_targets_check.cc
+++ b/src/targets/class_targets_check.cc
@@ -1,4 +1,4 @@
-// Syntax and ranges of the targets of a class.
+// Checks the syntax and ranges of the targets of a class.
 
 #include "src/targets/class_targets_check.h"
 
@@ -21,7 +21,7 @@
          name.find_first_not_of(kNameCharacters) == std::string_view::npos;
 }
 
-// NOTE: written so that a value that is not a number is outside every range.
+// NOTE: written so that NaN is outside every range.
 bool IsWithin(double value, double low, double high) {
   return value >= low && value <= high;
 }
--- a/src/targets/class_targets_check.h
+++ b/src/targets/class_targets_check.h
@@ -1,5 +1,5 @@
-// What the targets of a class may be. The same check guards the operators'
-// changes and the records read from the store and from peers.
+// Validates the targets of a class. The same check applies to the operators'
+// changes and to the records read from the store and from peers.
 
 #ifndef MEDLARSPREAD_TARGETS_CLASS_TARGETS_CHECK_H_
 #define MEDLARSPREAD_TARGETS_CLASS_TARGETS_CHECK_H_
@@ -17,7 +17,7 @@
 constexpr double kMinPercentile = 50.0;
 constexpr double kMaxPercentile = 99.99;
 
-// The first fault, with the field as the administration API names it, or
+// Returns the first invalid field, under its name in the administration API, or
 // nothing.
 std::optional<ChangeInvalid> FindFault(const blackboard::ClassTargets& targets);
 std::optional<ChangeInvalid> FindNameFault(const std::string& class_name);
--- a/src/targets/held_targets.cc
+++ b/src/targets/held_targets.cc
@@ -1,4 +1,4 @@
-// Acceptance of targets and the alarms about those that are kept out.
+// Accepts or rejects targets and raises the alarms about rejected ones.
 
 #include "src/targets/held_targets.h"
 
@@ -22,7 +22,7 @@
                                 const std::string& origin) {
   auto record = DecodeRecord(body);
   if (!record.is_ok()) {
-    Warn(origin, "targets kept out: " + record.error().ToString());
+    Warn(origin, "rejected malformed targets: " + record.error().ToString());
     return OfferOutcome::kMalformed;
   }
   const std::int64_t revision = record.value().revision;
@@ -72,7 +72,7 @@
 void HeldTargets::DidFailToReadStore(const base::Error& error) {
   TargetsAlarms alarms = *alarms_.Read();
   if (alarms.store_failure.empty()) {
-    log_.DidFail(error, "targets can't be read from the store");
+    log_.DidFail(error, "cannot read the targets from the store");
   }
   alarms.store_failure = error.ToString();
   alarms_.Write(std::move(alarms));
@@ -104,7 +104,7 @@
   if (alarms.digest_conflict_with == peer) {
     return;
   }
-  Warn(peer, "other targets under the revision in force, " +
+  Warn(peer, "different targets under the revision in force, " +
                  std::to_string(record_.revision));
   alarms.digest_conflict_with = peer;
   alarms_.Write(std::move(alarms));
@@ -119,15 +119,15 @@
   body_ = std::move(body);
   digest_ = DigestBody(body_);
   WriteView();
-  // A conflict was about the revision before.
+  // An earlier conflict concerned the previous revision.
   TargetsAlarms alarms = *alarms_.Read();
   alarms.digest_conflict_with.clear();
   alarms_.Write(std::move(alarms));
-  log_.Write(
-      {.level = base::LogLevel::kInfo,
-       .step = base::Step::kTargets,
-       .peer = origin,
-       .message = "revision " + std::to_string(revision()) + " is in force"});
+  log_.Write({.level = base::LogLevel::kInfo,
+              .step = base::Step::kTargets,
+              .peer = origin,
+              .message = "targets of revision " + std::to_string(revision()) +
+                         " are in force"});
 }
 
 void HeldTargets::WriteView() {
@@ -145,8 +145,9 @@
   alarms.reverted_store_revision = store_revision;
   ++alarms.reverts_kept_out;
   alarms_.Write(std::move(alarms));
-  Warn(kStoreName, "lower revision " + std::to_string(store_revision) +
-                       " kept out; in force: " + std::to_string(revision()));
+  Warn(kStoreName, "rejected the lower revision " +
+                       std::to_string(store_revision) +
+                       "; in force: " + std::to_string(revision()));
 }
 
 void HeldTargets::Warn(const std::string& peer, std::string message) const {
--- a/src/targets/held_targets.h
+++ b/src/targets/held_targets.h
@@ -1,5 +1,5 @@
-// The targets that this daemon has in force, and the rule that guards them:
-// only a higher revision replaces them, wherever it comes from.
+// Holds the targets that this daemon has in force. Only a higher revision
+// replaces them, whatever its origin.
 
 #ifndef MEDLARSPREAD_TARGETS_HELD_TARGETS_H_
 #define MEDLARSPREAD_TARGETS_HELD_TARGETS_H_
@@ -18,54 +18,57 @@
 
 namespace medlarspread::targets {
 
-// What became of targets that were offered.
+// The result of offering targets.
 enum class OfferOutcome {
-  // Higher: now in force.
+  // A higher revision: now in force.
   kApplied,
-  // The very targets in force.
+  // Identical to the targets in force.
   kSame,
-  // Lower: kept out.
+  // A lower revision: rejected.
   kLower,
-  // Lower, but read before the one in force was there: kept out, no alarm.
+  // A lower revision, but read before the one in force was applied: rejected
+  // without an alarm.
   kStale,
-  // Other targets under the revision in force: kept out, an alarm.
+  // Different targets under the revision in force: rejected, with an alarm.
   kDigestConflict,
-  // Not readable: kept out.
+  // Malformed: rejected.
   kMalformed,
 };
 
-// Used on the control sequence, but for alarms().
+// Used on the control sequence only, except for alarms().
 class HeldTargets {
  public:
   HeldTargets(base::Clock clock,
               blackboard::Blackboard& blackboard,
               base::Log log);
 
-  // Targets from a peer or from a change made here. `origin` is the VM.
+  // Offers targets from a peer or from a change made here. `origin` is the VM.
   OfferOutcome Offer(const std::string& body, const std::string& origin);
 
-  // What the store held under the key when it was asked, and the revision that
-  // was in force here at that time. A revision below the latter, or none, is
-  // what a restore leaves behind: kept out and an alarm until it is gone.
+  // Offers the store's entry. `revision_at_call` is the revision that was in
+  // force here when the read was sent. A lower revision, or no entry, means
+  // that the store was restored: it is rejected, with an alarm until it is
+  // gone.
   OfferOutcome DidReadStore(const std::optional<store::Entry>& entry,
                             std::int64_t revision_at_call);
   void DidFailToReadStore(const base::Error& error);
-  // Another daemon reads from now on: the alarms about the store are its own.
+  // This daemon no longer reads the store; clears the alarms about the store,
+  // which its readers raise themselves.
   void DidStopReadingStore();
 
-  // A peer that has nothing stored either counts as a source: the empty record
-  // becomes known, unless something else is.
+  // The store, or a peer, has no targets. The empty record becomes known unless
+  // another one is.
   void DidFindNoTargets();
 
-  // A peer holds other targets under the revision in force.
+  // A peer has different targets under the revision in force.
   void DidSeeOtherDigest(const std::string& peer);
 
-  // Whether anything has been learnt, be it the empty record.
+  // Whether any record is known, even if it is the empty one.
   bool is_known() const { return is_known_; }
   std::int64_t revision() const { return record_.revision; }
   std::int64_t digest() const { return digest_; }
   const TargetsRecord& record() const { return record_; }
-  // As stored; empty at revision 0.
+  // The stored text; empty at revision 0.
   const std::string& body() const { return body_; }
 
   // Safe to use from any thread.
--- a/src/targets/peer_exchange.cc
+++ b/src/targets/peer_exchange.cc
@@ -1,4 +1,4 @@
-// Requests for targets and the answers to them.
+// Sends and answers requests for targets.
 
 #include "src/targets/peer_exchange.h"
 
@@ -41,9 +41,10 @@
     return;
   }
   if (revision > held_->revision()) {
-    // NOTE: at once. Heartbeats go to a few peers at a time, so that those who
-    // ask spread over those who hold the targets by then; a random delay only
-    // slows that down, see docs/design/08-targets.md.
+    // NOTE: requests at once. Heartbeats go to a few peers at a time, so the
+    // requests spread over the daemons that have the targets by then; a random
+    // delay would only slow the propagation down, see
+    // docs/design/08-targets.md.
     if (!is_waiting_) {
       Request(peer);
     }
@@ -60,8 +61,8 @@
   }
   const base::Status status = peers_.send(sender.name, std::move(reply));
   if (!status.is_ok()) {
-    // The peer asks again, this daemon or another.
-    log_.DidFail(status.error(), "targets were not passed on");
+    // The peer will repeat its request to this daemon or another.
+    log_.DidFail(status.error(), "could not send the targets to a peer");
   }
 }
 
@@ -113,7 +114,7 @@
   peer::wire::TargetsRequest request;
   request.above_revision = held_->revision();
   if (!peers_.send(peer, request).is_ok()) {
-    // Not reachable: its next heartbeat brings it back.
+    // Unreachable; its next heartbeat adds it again.
     revisions_.erase(peer);
   }
   is_waiting_ = true;
--- a/src/targets/peer_exchange.h
+++ b/src/targets/peer_exchange.h
@@ -1,5 +1,5 @@
-// Learning targets from the other daemons and giving them ours. Heartbeats show
-// which revision a peer has in force; the body is asked for when it is higher.
+// Exchanges targets with the other daemons. Heartbeats show which revision a
+// peer has in force; its body is requested if the revision is higher.
 
 #ifndef MEDLARSPREAD_TARGETS_PEER_EXCHANGE_H_
 #define MEDLARSPREAD_TARGETS_PEER_EXCHANGE_H_
@@ -20,7 +20,8 @@
 
 namespace medlarspread::targets {
 
-// Used on the control sequence only. Shared, because its timers keep it alive.
+// Used on the control sequence only. Owned by shared pointer, because its
+// timers keep it alive.
 class PeerExchange : public std::enable_shared_from_this<PeerExchange> {
  public:
   PeerExchange(const TargetsSettings& settings,
@@ -31,7 +32,8 @@
                std::shared_ptr<HeldTargets> held,
                base::Log log);
 
-  // A heartbeat shows what `peer` has in force. A digest of 0 means nothing.
+  // A heartbeat named the targets that `peer` has in force. A digest of 0 means
+  // that it knows none.
   void DidSeeRevision(const std::string& peer,
                       std::int64_t revision,
                       std::int64_t digest);
@@ -40,19 +42,21 @@
   void DidReceiveBody(const peer::Sender& sender,
                       const peer::wire::TargetsBody& body);
 
-  // The highest revision that any daemon was ever seen to have in force.
+  // The highest revision that any daemon has been seen to have in force.
   std::int64_t HighestSeen() const;
-  // The same, of the daemons in the membership view only.
+  // The same, among the daemons in the membership view only.
   std::int64_t HighestLive() const;
 
-  // Asks a peer at once if one is known to hold a higher revision.
+  // Requests the targets at once if a peer is known to have a higher revision.
   void RequestNow();
   void Stop();
 
  private:
-  // Asks `peer`; another attempt follows unless we have caught up by then.
+  // Requests the targets of `peer`; tries again after a timeout while any peer
+  // has a higher revision.
   void Request(const std::string& peer);
-  // Asks any peer that is ahead, if there is one.
+  // Requests the targets of a random peer with a higher revision, if there is
+  // one.
   void RequestAny();
   std::vector<std::string> PeersAhead() const;
 
@@ -67,8 +71,8 @@
   std::map<std::string, std::int64_t> revisions_;
   std::int64_t highest_seen_ = 0;
   bool is_stopped_ = false;
-  // Invariant: set exactly while an answer is waited for, that is, while
-  // `timer_` is due.
+  // Invariant: true exactly while a reply is awaited, that is, while `timer_`
+  // is pending.
   bool is_waiting_ = false;
   base::Timer timer_;
 };
--- a/src/targets/route_controller.cc
+++ b/src/targets/route_controller.cc
@@ -1,4 +1,4 @@
-// Compares revisions before it publishes.
+// Compares revisions before it publishes routes.
 
 #include "src/targets/route_controller.h"
 
@@ -26,7 +26,7 @@
                               const RoutesOrigin& origin) {
   const auto known = blackboard_.routes.Read();
   if (!routes.is_ok()) {
-    log_.DidFail(routes.error(), "routes that can't be read are left out; " +
+    log_.DidFail(routes.error(), "ignored malformed routes; revision " +
                                      std::to_string(known->revision) +
                                      " stays in force; " + Describe(origin));
     return false;
@@ -39,7 +39,7 @@
     log_.Write({.level = base::LogLevel::kInfo,
                 .step = base::Step::kTargets,
                 .message = "routes of revision " + std::to_string(revision) +
-                           " are left out, " + std::to_string(known->revision) +
+                           " are ignored, " + std::to_string(known->revision) +
                            " is in force; " + Describe(origin)});
     return false;
   }
--- a/src/targets/route_controller.h
+++ b/src/targets/route_controller.h
@@ -1,4 +1,5 @@
-// Puts the operators' routes into force: only ever a higher revision.
+// Puts the operators' routes into force; only a higher revision replaces the
+// current one.
 
 #ifndef MEDLARSPREAD_TARGETS_ROUTE_CONTROLLER_H_
 #define MEDLARSPREAD_TARGETS_ROUTE_CONTROLLER_H_
@@ -14,14 +15,14 @@
 
 namespace medlarspread::targets {
 
-// How routes came to this daemon; for the log.
+// The origin of routes, for the log.
 struct RoutesOrigin {
-  // Where they stand in the store.
+  // Their position in the store.
   store::Position position;
-  // "the store", or the address of the peer that passed them on.
+  // "the store", or the address of the peer that sent them.
   std::string source;
-  // How long ago the store had last answered whoever read it; absent if that is
-  // not known.
+  // The time since the store last answered the daemon that read it; absent if
+  // unknown.
   std::optional<base::Duration> age;
 };
 
@@ -30,8 +31,8 @@
  public:
   RouteController(blackboard::Blackboard& blackboard, base::Log log);
 
-  // A revision was read somewhere, perhaps late or stale; true if it came into
-  // force. One that can't be read leaves the last good one in force.
+  // Handles routes that were read, which may be late or stale. Returns whether
+  // they came into force. Malformed routes leave the last valid ones in force.
   bool DidRead(base::Result<blackboard::RoutesView> routes,
                const RoutesOrigin& origin = {});
 
--- a/src/targets/store_reader.cc
+++ b/src/targets/store_reader.cc
@@ -1,4 +1,4 @@
-// The reader's loop over the store.
+// Implements the loop of reads and watches.
 
 #include "src/targets/store_reader.h"
 
@@ -18,7 +18,7 @@
 
 constexpr char kReaderRole[] = "targets-reader";
 
-// A random duration from half of `duration` to the whole.
+// Returns a random duration between half of `duration` and the whole.
 base::Duration Jitter(base::Duration duration, base::Random& random) {
   const auto half = duration / 2;
   return half + base::Duration(random.Below(half.count() + 1));
@@ -73,7 +73,7 @@
   if (is_stopped_) {
     return;
   }
-  // A daemon that knows nothing yet reads whatever its role is.
+  // A daemon without targets reads the store whatever its role.
   if (held_->is_known() && !is_reader()) {
     should_watch_ = false;
     held_->DidStopReadingStore();
@@ -153,7 +153,7 @@
     return;
   }
   is_repairing_ = true;
-  // The random delay leaves it to one of the readers, most times.
+  // Because of the random delay, usually only one of the readers writes.
   const base::Duration delay(random_.Below(settings_.repair_delay.count() + 1));
   control_.After(delay, [self = shared_from_this(), lower_version] {
     self->Repair(lower_version);
@@ -170,7 +170,7 @@
       [self = shared_from_this()](const base::Result<std::int64_t>& result) {
         self->is_repairing_ = false;
         if (!result.is_ok()) {
-          // Whatever became of it, the next read shows what is there.
+          // Whatever the outcome, the next read shows the current record.
           self->should_watch_ = false;
         }
       });
--- a/src/targets/store_reader.h
+++ b/src/targets/store_reader.h
@@ -1,6 +1,6 @@
-// Reading and watching the record of targets in the store. Only a few daemons
-// of each failure domain do so; each works out from the membership view
-// whether it is one of them, so that nobody has to be asked or elected.
+// Reads and watches the record of targets in the store. Only a few daemons of
+// each failure domain do so. Each determines from the membership view whether
+// it is one of them, so that no election or coordination is needed.
 
 #ifndef MEDLARSPREAD_TARGETS_STORE_READER_H_
 #define MEDLARSPREAD_TARGETS_STORE_READER_H_
@@ -18,9 +18,9 @@
 
 namespace medlarspread::targets {
 
-// Used on the control sequence only. Shared, because its timers and calls keep
-// it alive. At any time one call of the store or one timer is pending, besides
-// at most one repair.
+// Used on the control sequence only. Owned by shared pointer, because its
+// timers and calls keep it alive. At any time one call of the store or one
+// timer is pending, besides at most one repair.
 class StoreReader : public std::enable_shared_from_this<StoreReader> {
  public:
   StoreReader(const TargetsSettings& settings,
@@ -31,18 +31,19 @@
               std::shared_ptr<HeldTargets> held);
 
   void Start();
-  // No call is made from then on; those under way end without effect.
+  // Makes no further calls; pending ones end without effect.
   void Stop();
 
-  // Whether this daemon is among the readers of its failure domain.
+  // Whether this daemon is one of the readers of its failure domain.
   bool is_reader() const;
 
  private:
   void StepAfter(base::Duration delay);
-  // 1. A daemon that is no reader only looks again later.
-  // 2. The record is read, because a watch does not see a restored store
-  //    whose version went back.
-  // 3. Then it is watched until it changes or the wait is over; go to 1.
+  // Steps:
+  //   1. A daemon that is not a reader only checks its role again later.
+  //   2. Read the record, because a watch does not notice a restored store
+  //      whose version went back.
+  //   3. Watch it until it changes or the wait is over; go to 1.
   void Step();
   void Read();
   void Watch();
@@ -51,8 +52,8 @@
   void DidLearn(const std::optional<store::Entry>& entry);
   void DidFail(const base::Error& error);
 
-  // Writes the targets in force over a lower record that a restore of the
-  // store has left, if `lower_version` is still what is there.
+  // Writes the targets in force over a lower record that a restore of the store
+  // has left, if the store still has `lower_version`.
   void ScheduleRepair(std::int64_t lower_version);
   void Repair(std::int64_t lower_version);
 
@@ -66,11 +67,11 @@
   bool is_stopped_ = false;
   bool should_watch_ = false;
   bool is_repairing_ = false;
-  // The version last seen; kAbsent if the key does not exist.
+  // The last version seen; kAbsent if the key does not exist.
   std::int64_t version_ = store::kAbsent;
-  // What was in force here when the call under way was made.
+  // The revision in force here when the pending call was sent.
   std::int64_t revision_at_call_ = 0;
-  // Zero after a call that succeeded.
+  // Zero after a successful call.
   base::Duration backoff_{};
 };
 
--- a/src/targets/targets_alarms.h
+++ b/src/targets/targets_alarms.h
@@ -1,4 +1,4 @@
-// What the operators must be told about the targets; see the status page.
+// Alarms about the targets, which the status page shows to operators.
 
 #ifndef MEDLARSPREAD_TARGETS_TARGETS_ALARMS_H_
 #define MEDLARSPREAD_TARGETS_TARGETS_ALARMS_H_
@@ -10,15 +10,16 @@
 namespace medlarspread::targets {
 
 struct TargetsAlarms {
-  // The store holds this lower revision (0: none) than the one in force.
+  // The revision in the store (0: none) if it is lower than the one in force.
   std::optional<std::int64_t> reverted_store_revision;
-  // How often a lower revision was kept out since the start.
+  // The number of times that a lower revision was rejected since the start.
   std::int64_t reverts_kept_out = 0;
-  // Who holds other targets under the revision in force: a VM, or "store".
+  // Who has different targets under the revision in force: a VM, or "store".
   std::string digest_conflict_with;
-  // Why the stored record can't be read.
+  // Why the stored record cannot be parsed.
   std::string malformed_record;
-  // The last call of the store failed so; empty on daemons that don't read it.
+  // The error of the last call of the store; empty if it succeeded, and on
+  // daemons that do not read the store.
   std::string store_failure;
 
   friend bool operator==(const TargetsAlarms&, const TargetsAlarms&) = default;
--- a/src/targets/targets_change.h
+++ b/src/targets/targets_change.h
@@ -1,4 +1,5 @@
-// One change of the targets as an operator asks for it, and its outcomes.
+// A change of the targets as requested by an operator, and its possible
+// outcomes.
 
 #ifndef MEDLARSPREAD_TARGETS_TARGETS_CHANGE_H_
 #define MEDLARSPREAD_TARGETS_TARGETS_CHANGE_H_
@@ -25,10 +26,10 @@
 };
 
 struct TargetsChange {
-  // Chosen by the operator's client and kept when it tries again: a change is
-  // made once, however often it is submitted.
+  // Chosen by the operator's client and reused when it retries, so that a
+  // change is made once, however often it is submitted.
   std::string change_id;
-  // If stated, the change is made only on top of this revision.
+  // If set, the change is made only on top of this revision.
   std::optional<std::int64_t> expected_revision;
   std::variant<SetClass, RemoveClass> action;
 };
@@ -38,34 +39,34 @@
   std::int64_t revision = 0;
 };
 
-// Not made: another change came first.
+// Not made: another change was made first.
 struct ChangeLost {
-  // The revision that it lost to.
+  // The revision of the other change.
   std::int64_t revision = 0;
-  // The change that it lost to; empty if that is no longer recorded.
+  // The ID of the other change; empty if it is no longer recorded.
   std::string winner_change_id;
 };
 
-// Not made: the class to be removed does not exist.
+// Not made: the class to remove does not exist.
 struct ChangeNotFound {
   std::string class_name;
 };
 
-// Not made: the change itself is wrong.
+// Not made: the request is invalid.
 struct ChangeInvalid {
-  // The field as the administration API names it.
+  // The field's name in the administration API.
   std::string field;
   std::string detail;
 };
 
-// Not made and never will be, for a reason that may pass.
+// Not made and never will be, for a reason that may be temporary.
 struct ChangeRefused {
   base::Error error;
   base::Duration retry_after{};
 };
 
-// It may or may not have been made. Submitting it again with the same
-// change_id settles it.
+// The change may or may not have been made. Submitting it again with the same
+// change_id resolves this.
 struct ChangeUnknown {
   base::Error error;
 };
@@ -82,11 +83,11 @@
 // The class that the change sets or removes.
 const std::string& ClassNameOf(const TargetsChange& change);
 
-// Identifies what the change asks for, so that a change_id that is used again
-// for something else is noticed.
+// Returns a digest of the requested change, to detect a change_id that is
+// reused for a different change.
 std::int64_t DigestOf(const TargetsChange& change);
 
-// The first fault of the change, or nothing.
+// Returns the first invalid field of the change, or nothing.
 std::optional<ChangeInvalid> FindFault(const TargetsChange& change);
 
 }  // namespace medlarspread::targets
--- a/src/targets/targets_controller.cc
+++ b/src/targets/targets_controller.cc
@@ -1,4 +1,4 @@
-// Assembles the parts of the targets' controller and posts to them.
+// Assembles the parts of the targets controller and posts tasks to them.
 
 #include "src/targets/targets_controller.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-// How often a starting daemon looks whether it has become ready.
+// How often a starting daemon checks whether it has become ready.
 constexpr base::Duration kReadyInterval = base::Milliseconds(50);
 
 base::Error MakeRefusal(base::ErrorCode code, std::string detail) {
@@ -25,7 +25,7 @@
 }  // namespace
 
 // Shared with the tasks posted to the control sequence. All but the
-// constructor, is_ready() and alarms() runs there.
+// constructor, is_ready() and alarms() run there.
 class TargetsController::Impl
     : public std::enable_shared_from_this<TargetsController::Impl> {
  public:
@@ -77,9 +77,9 @@
 
  private:
   bool is_settled() const { return blackboard_.membership.Read()->is_settled; }
-  // Looks again later until the answer is yes.
+  // Sets `is_ready_` once the daemon is ready; until then checks again later.
   void CheckReady();
-  // Why no change can be taken on now, if so.
+  // Returns why no change can be accepted for processing now, if so.
   std::optional<base::Error> FindObstacle() const;
 
   const TargetsSettings settings_;
@@ -91,7 +91,7 @@
   const std::shared_ptr<PeerExchange> peers_;
   const std::shared_ptr<StoreReader> reader_;
 
-  // Since when membership has been settled, while the daemon starts.
+  // When membership settled; used while the daemon starts.
   std::optional<base::MonotonicTime> settled_at_;
   bool is_stopped_ = false;
   std::atomic<bool> is_ready_ = false;
@@ -105,8 +105,9 @@
   } else if (!settled_at_) {
     settled_at_ = clock_.Now();
   }
-  // NOTE: word from one peer is not enough: it may have started from the same
-  // restored store. The wait gives more of them the time for a heartbeat.
+  // NOTE: a single peer's revision is not enough, because the peer may have
+  // started from the same restored store. The wait gives more peers time to
+  // send a heartbeat.
   const bool has_waited =
       settled_at_ && clock_.Now() - *settled_at_ >= settings_.peer_wait;
   if (held_->is_known() && has_waited &&
@@ -130,11 +131,11 @@
   }
   if (!is_settled()) {
     return MakeRefusal(base::ErrorCode::kUnavailable,
-                       "this VM does not know its peers now");
+                       "this VM does not know its peers at present");
   }
   if (changes_ >= settings_.max_changes) {
     return MakeRefusal(base::ErrorCode::kOverloaded,
-                       "too many changes at once");
+                       "too many changes are in progress");
   }
   return std::nullopt;
 }
--- a/src/targets/targets_controller.h
+++ b/src/targets/targets_controller.h
@@ -1,6 +1,6 @@
-// The controller of the targets: brings them into force on this daemon from the
-// store and from peers, passes them on, and makes the operators' changes. See
-// docs/design/08-targets.md.
+// Controls the targets: puts targets from the store and from peers into force
+// on this daemon, sends them to peers, and carries out the operators' changes.
+// See docs/design/08-targets.md.
 
 #ifndef MEDLARSPREAD_TARGETS_TARGETS_CONTROLLER_H_
 #define MEDLARSPREAD_TARGETS_TARGETS_CONTROLLER_H_
@@ -22,8 +22,8 @@
 
 namespace medlarspread::targets {
 
-// Every method may be called from any thread: the work is done on the control
-// sequence. `random` and `blackboard` must outlive the control sequence.
+// Thread-safe: the work is done on the control sequence. `random` and
+// `blackboard` must outlive the control sequence.
 class TargetsController {
  public:
   TargetsController(const TargetsSettings& settings,
@@ -39,8 +39,9 @@
   TargetsController& operator=(const TargetsController&) = delete;
 
   void Start();
-  // Ends reading and asking. Targets stay in force and are still passed on;
-  // new changes are refused, changes under way go on to their outcome.
+  // Stops reading the store and requesting targets from peers. Targets stay in
+  // force and are still sent to peers; new changes are refused, pending changes
+  // continue to their outcome.
   void Stop();
 
   void DidReceive(const peer::Sender& sender,
@@ -48,16 +49,16 @@
   void DidReceive(const peer::Sender& sender,
                   const peer::wire::TargetsBody& body);
 
-  // A heartbeat shows which targets `peer` has in force.
+  // A heartbeat named the targets that `peer` has in force.
   void DidSeeRevision(const std::string& peer,
                       std::int64_t revision,
                       std::int64_t digest);
 
-  // Calls back once on the control sequence, within the change timeout.
+  // Calls back once, on the control sequence, within the change timeout.
   void Change(TargetsChange change, ChangeCallback callback);
 
-  // Whether targets are in force that no known peer is ahead of. Once true it
-  // stays true.
+  // Whether targets are in force and no known peer has higher ones. Once true,
+  // it stays true.
   bool is_ready() const;
 
   TargetsAlarms alarms() const;
--- a/src/targets/targets_record.cc
+++ b/src/targets/targets_record.cc
@@ -1,4 +1,4 @@
-// Encoding, decoding and succession of records of targets.
+// Encodes and decodes records of targets and applies changes to them.
 
 #include "src/targets/targets_record.h"
 
@@ -23,7 +23,7 @@
 using store::ReadString;
 using web::json::value;
 
-// Raised when an older daemon could no longer read the record.
+// Incremented when older daemons can no longer read the record.
 constexpr std::int64_t kFormat = 1;
 
 base::Error Malformed(std::string detail) {
@@ -166,21 +166,21 @@
 base::Result<TargetsRecord> DecodeRecord(const std::string& body) {
   const auto object = store::ParseObject(body);
   if (!object) {
-    return Malformed("targets are no JSON object");
+    return Malformed("the targets are not a JSON object");
   }
   if (ReadInteger(*object, "format") != kFormat) {
-    return Malformed("targets have an unknown format");
+    return Malformed("the targets have an unknown format");
   }
   TargetsRecord record;
   record.revision = ReadInteger(*object, "revision").value_or(0);
   if (record.revision <= 0) {
-    return Malformed("targets lack a revision");
+    return Malformed("the targets have no revision");
   }
   if (!ParseClasses(*object, record)) {
-    return Malformed("targets hold a class that is not valid");
+    return Malformed("the targets contain an invalid class");
   }
   if (!ParseMarks(*object, record)) {
-    return Malformed("targets hold a change that is not valid");
+    return Malformed("the targets contain an invalid change");
   }
   return record;
 }
--- a/src/targets/targets_record.h
+++ b/src/targets/targets_record.h
@@ -1,6 +1,6 @@
-// The stored record of all targets: one JSON text under one key. It carries its
-// own revision and the latest changes that led to it, so that a change whose
-// reply was lost is found again instead of being made twice.
+// The stored record of all targets: a JSON text under a single key. It contains
+// its revision and the latest changes that led to it, so that a change whose
+// reply was lost is recognized instead of being made twice.
 
 #ifndef MEDLARSPREAD_TARGETS_TARGETS_RECORD_H_
 #define MEDLARSPREAD_TARGETS_TARGETS_RECORD_H_
@@ -21,13 +21,13 @@
 
 constexpr char kTargetsKey[] = "targets";
 
-// Changes that a record remembers. A change_id that is submitted again after
-// that many others is taken for a new change.
+// The number of changes that a record lists. A change_id that is submitted
+// again after that many others counts as a new change.
 constexpr std::size_t kMaxChangeMarks = 64;
-// With this bound a record stays far below the store's limit of 1 MB.
+// This bound keeps a record far below the store's limit of 1 MB.
 constexpr std::size_t kMaxClasses = 1000;
 
-// A change that was made.
+// A completed change.
 struct ChangeMark {
   std::string change_id;
   std::int64_t revision = 0;
@@ -49,30 +49,31 @@
   friend bool operator==(const TargetsRecord&, const TargetsRecord&) = default;
 };
 
-// XXH64; never 0, which stands for "nothing learnt yet".
+// Computes the XXH64 digest; never 0, which means that no targets are known
+// yet.
 std::int64_t DigestBody(std::string_view body);
 
 // The digest of the empty record, whose body is the empty text.
 std::int64_t EmptyDigest();
 
-// One class as JSON text; equal for equal targets.
+// Encodes one class as JSON text; equal targets have equal texts.
 std::string EncodeClass(const blackboard::ClassTargets& targets);
 
-// Decoding the text gives back an equal record.
+// Encodes the record; DecodeRecord() restores an equal one.
 std::string EncodeRecord(const TargetsRecord& record);
-// kMalformed for anything that EncodeRecord can't have written.
+// Fails with kMalformed for any text that EncodeRecord() cannot have written.
 base::Result<TargetsRecord> DecodeRecord(const std::string& body);
 
-// The mark of the change, or null.
+// Returns the mark of the change, or null.
 const ChangeMark* FindMark(const TargetsRecord& record,
                            const std::string& change_id);
 
-// The last change that touched the class, or null.
+// Returns the mark of the last change to the class, or null.
 const ChangeMark* FindLastMarkOfClass(const TargetsRecord& record,
                                       const std::string& class_name);
 
-// The record that results from the change on top of `base`. Its revision is
-// above that of `base` and above `floor_revision`.
+// Returns the record that results from applying the change to `base`. Its
+// revision is above that of `base` and above `floor_revision`.
 TargetsRecord ApplyChange(const TargetsRecord& base,
                           const TargetsChange& change,
                           std::int64_t floor_revision);
--- a/tests/targets/fake_fleet.cc
+++ b/tests/targets/fake_fleet.cc
@@ -1,4 +1,4 @@
-// Links, heartbeats and invariants of the fake fleet.
+// Implements the links, heartbeats and invariant checks of the fake fleet.
 
 #include "tests/targets/fake_fleet.h"
 
@@ -25,7 +25,8 @@
       next_seed_(seed) {}
 
 FakeFleet::~FakeFleet() {
-  // Lets every change come to its outcome, so that nothing outlives the fleet.
+  // Waits for the outcome of every change, so that no change outlives the
+  // fleet.
   for (auto& [name, daemon] : daemons_) {
     daemon->controller->Stop();
   }
--- a/tests/targets/fake_fleet.h
+++ b/tests/targets/fake_fleet.h
@@ -1,7 +1,7 @@
-// Several targets' controllers on one scheduler with one fake store. Stands in
-// for the peer links and the heartbeats, and checks after each of its steps
-// that no daemon's revision has gone back and that daemons with one revision
-// have the same targets in force.
+// Several targets controllers on one scheduler with one fake store. Simulates
+// the peer links and heartbeats, and checks after each step that no daemon's
+// revision has decreased and that daemons with the same revision have the same
+// targets in force.
 
 #ifndef MEDLARSPREAD_TESTS_TARGETS_FAKE_FLEET_H_
 #define MEDLARSPREAD_TESTS_TARGETS_FAKE_FLEET_H_
@@ -29,7 +29,7 @@
   blackboard::Blackboard blackboard;
   std::unique_ptr<base::Random> random;
   std::unique_ptr<TargetsController> controller;
-  // What this daemon was last seen to have in force.
+  // The revision that this daemon last had in force.
   std::int64_t last_revision = 0;
 
   std::int64_t revision() const { return blackboard.targets.Read()->revision; }
@@ -40,27 +40,28 @@
   explicit FakeFleet(std::uint64_t seed);
   ~FakeFleet();
 
-  // Starts a new daemon under the name; one that runs under it is replaced.
+  // Starts a new daemon under the name, replacing a running one.
   FakeDaemon& Start(const std::string& name);
-  // The daemon is gone at once.
+  // Removes the daemon at once.
   void Kill(const std::string& name);
   FakeDaemon& daemon(const std::string& name) { return *daemons_.at(name); }
   const std::map<std::string, std::unique_ptr<FakeDaemon>>& daemons() const {
     return daemons_;
   }
 
-  // Moves time on in small steps, with a heartbeat between all each second.
+  // Advances time in small steps, with heartbeats between all daemons each
+  // second.
   void Advance(base::Duration duration);
-  // Until the change has its outcome.
+  // Submits the change and advances time until it has an outcome.
   ChangeOutcome ChangeAndWait(const std::string& name, TargetsChange change);
-  // Submits the change; `outcome` stays empty until there is one.
+  // Submits the change; the result stays empty until there is an outcome.
   std::shared_ptr<std::optional<ChangeOutcome>> Change(const std::string& name,
                                                        TargetsChange change);
 
   // Whether every daemon has the revision in force.
   bool IsInForceEverywhere(std::int64_t revision) const;
 
-  // The first broken invariant, or empty.
+  // The first violated invariant, or empty.
   const std::string& violation() const { return violation_; }
 
   FakeStore& store() { return store_; }
@@ -86,7 +87,7 @@
   std::uint64_t next_seed_;
   base::Duration since_heartbeat_{};
   std::map<std::string, std::unique_ptr<FakeDaemon>> daemons_;
-  // Kept until the end: tasks that were posted may still refer to them.
+  // Kept until the end, because posted tasks may still refer to them.
   std::vector<std::unique_ptr<FakeDaemon>> gone_;
   std::map<std::int64_t, std::int64_t> digests_;
   std::string violation_;
--- a/tests/targets/fake_store.cc
+++ b/tests/targets/fake_store.cc
@@ -1,4 +1,4 @@
-// The fake service's calls and faults.
+// Implements the fake service's calls and faults.
 
 #include "tests/targets/fake_store.h"
 
--- a/tests/targets/fake_store.h
+++ b/tests/targets/fake_store.h
@@ -1,4 +1,4 @@
-// A key-value service that lives on the test's scheduler and fails on demand:
+// A key-value service that runs on the test's scheduler and simulates faults:
 // outages, lost replies, writes that take effect late, and restores.
 
 #ifndef MEDLARSPREAD_TESTS_TARGETS_FAKE_STORE_H_
@@ -20,7 +20,7 @@
 // What happens to a call.
 enum class StoreFault {
   kNone,
-  // Refused without effect: kUnavailable for reads, kUnreachable for writes.
+  // Rejected without effect: kUnavailable for reads, kUnreachable for writes.
   kDown,
   // No reply, and no effect.
   kSilent,
@@ -37,16 +37,16 @@
 
   store::Store store();
 
-  // Decides the fate of each call; none fails if it is not set.
+  // Chooses the fault of each call; without it no call fails.
   std::function<StoreFault(bool is_write)> choose_fault;
-  // Runs once, just before the next write takes effect or is refused.
+  // Runs once, just before the next write takes effect or is rejected.
   std::function<void()> before_next_write;
   base::Duration late_by = base::Milliseconds(2500);
 
-  // The entry, or nothing.
+  // Returns the entry, or nothing.
   std::optional<store::Entry> Get(const std::string& key) const;
-  // Puts back an older entry, or absence. The versions go on growing unless the
-  // entry's own version is to come back as well.
+  // Restores an older entry, or its absence. Versions keep increasing unless
+  // the entry's own version is to be restored as well.
   void Restore(const std::string& key,
                const std::optional<store::Entry>& entry,
                bool is_version_restored);
@@ -75,7 +75,8 @@
              std::int64_t after_version,
              base::Duration wait,
              const store::Store::ReadCallback& callback);
-  // The new version, or nothing if the expected one is not there.
+  // Returns the new version, or nothing if the key has another version than
+  // expected.
   std::optional<std::int64_t> Swap(const std::string& key,
                                    const std::string& value,
                                    std::int64_t expected_version);
--- a/tests/targets/route_controller_test.cc
+++ b/tests/targets/route_controller_test.cc
@@ -1,4 +1,4 @@
-// RouteController: only a higher revision comes into force.
+// Tests that only a higher revision of routes comes into force.
 
 #include "src/targets/route_controller.h"
 
--- a/tests/targets/targets_controller_test.cc
+++ b/tests/targets/targets_controller_test.cc
@@ -1,5 +1,5 @@
-// One daemon and a failing store: reading, watching, readiness, alarms and
-// every way a single change can end.
+// Tests one daemon with a failing store: reads, watches, readiness, alarms and
+// every outcome of a single change.
 
 #include "src/targets/targets_controller.h"
 
@@ -51,7 +51,7 @@
                            [this] { fleet_.store().choose_fault = nullptr; });
   }
 
-  // Another operator's change, straight into the store.
+  // Makes another operator's change directly in the store.
   void WriteBehind(const TargetsChange& change) {
     const auto entry = fleet_.store().Get(kTargetsKey);
     const TargetsRecord base =
@@ -167,14 +167,14 @@
   EXPECT_TRUE(std::holds_alternative<ChangeUnknown>(outcome));
   fleet_.store().choose_fault = nullptr;
   fleet_.Advance(base::Milliseconds(10000));
-  // It did take effect; the operator learns so by submitting it again.
+  // The write did take effect; the operator learns this by submitting it again.
   EXPECT_EQ(daemon().revision(), 1);
   EXPECT_EQ(Accept(MakeChange("c1", "counter", 50)), 1);
 }
 
 TEST_F(TargetsControllerTest, LateWriteFollowedByAnOutageIsNeverRefused) {
-  // The first write is late; by then the store is down, so that nothing has
-  // settled it.
+  // The first write takes effect late, when the store is already down, so that
+  // no read has shown its outcome.
   bool has_written = false;
   fleet_.store().choose_fault = [&has_written](bool is_write) {
     if (!is_write) {
@@ -192,7 +192,7 @@
   EXPECT_EQ(daemon().revision(), 1);
 }
 
-// A record five revisions on, as a peer may hold it after the store was
+// A record five revisions later, as a peer may have after the store was
 // restored to `base`.
 std::string MakePeersBody(TargetsRecord base) {
   for (int i = 0; i < 5; ++i) {
@@ -286,8 +286,7 @@
 }
 
 TEST_F(TargetsControllerTest, ChangeIsRefusedWhileMembershipIsNotSettled) {
-  // As after a pause of the VM: who its peers are, and what they hold, is not
-  // known.
+  // As after a pause of the VM: its peers and their revisions are unknown.
   daemon().blackboard.membership.Write({});
   const auto outcome =
       fleet_.ChangeAndWait("a", MakeChange("c1", "counter", 50));
@@ -347,7 +346,7 @@
 TEST_F(HeldTargetsTest, ReadOvertakenByAChangeIsNoRevert) {
   EXPECT_EQ(held_.DidReadStore(MakeEntry(2), 0), OfferOutcome::kApplied);
   EXPECT_EQ(held_.Offer(MakeEntry(3).value, "b"), OfferOutcome::kApplied);
-  // Asked at revision 2, answered after 3 came into force.
+  // Requested at revision 2, answered after 3 came into force.
   EXPECT_EQ(held_.DidReadStore(MakeEntry(2), 2), OfferOutcome::kStale);
   EXPECT_EQ(held_.alarms(), TargetsAlarms());
   EXPECT_EQ(held_.revision(), 3);
--- a/tests/targets/targets_fleet_test.cc
+++ b/tests/targets/targets_fleet_test.cc
@@ -1,5 +1,6 @@
-// Several daemons: changes come into force on all of them, restored stores do
-// not revert them, and starting daemons learn from their peers.
+// Tests several daemons: changes come into force on all of them, restored
+// stores do not revert them, and starting daemons learn targets from their
+// peers.
 
 #include <algorithm>
 
@@ -129,7 +130,8 @@
 class TargetsRestoreTest : public TargetsFleetTest,
                            public testing::WithParamInterface<bool> {
  protected:
-  // Three changes in force everywhere; the store goes back to the first.
+  // Puts three changes in force everywhere, then restores the store to the
+  // first.
   void RestoreFirst() {
     EXPECT_EQ(Accept("a", MakeChange("c1", "counter", 50)), 1);
     const auto old = fleet_.store().Get(kTargetsKey);
@@ -157,7 +159,7 @@
   fleet_.Advance(kSettle);
   EXPECT_TRUE(fleet_.IsInForceEverywhere(4));
   EXPECT_EQ(fleet_.daemon("e").blackboard.targets.Read()->classes.size(), 3U);
-  // What was accepted before the restore is still known as such.
+  // A change accepted before the restore is still recognized.
   EXPECT_EQ(Accept("e", MakeChange("c2", "portal", 60)), 2);
 }
 
@@ -173,7 +175,7 @@
 TEST_F(TargetsFleetTest, ChangeOnADaemonThatLagsIsMadeOnWhatOthersHold) {
   EXPECT_EQ(Accept("a", MakeChange("c1", "counter", 50)), 1);
   fleet_.Advance(kSettle);
-  // The other daemons hold two revisions more than the restored store.
+  // The other daemons are two revisions ahead of the restored store.
   TargetsRecord record =
       DecodeRecord(fleet_.store().Get(kTargetsKey)->value).value();
   record = ApplyChange(record, MakeChange("c2", "portal", 60), 0);
@@ -203,7 +205,7 @@
   fleet_.Advance(kSettle);
   EXPECT_TRUE(HasAnyAlarm(HasConflict));
   EXPECT_TRUE(fleet_.IsInForceEverywhere(1));
-  // The next change ends it.
+  // The next change clears the alarm.
   EXPECT_EQ(Accept("b", MakeChange("c2", "portal", 60)), 2);
   fleet_.Advance(kSettle);
   EXPECT_FALSE(HasAnyAlarm(HasConflict));
--- a/tests/targets/targets_property_test.cc
+++ b/tests/targets/targets_property_test.cc
@@ -1,9 +1,9 @@
-// Random interleavings of operators, outages, lost and late replies, restores,
-// restarts and cut links against the state machine of changes. Each failing
-// run prints its seed.
+// Tests the state machine of changes with random interleavings of operators'
+// requests, outages, lost and late replies, restores, restarts and cut links.
+// Each failing run prints its seed.
 //
-// What is left out because no rule can hold through it: a restore of the store
-// while a change is still spreading, or while daemons can't reach each other.
+// Not covered, because no invariant can hold: a restore of the store while a
+// change is still propagating or while daemons cannot reach each other.
 
 #include <algorithm>
 #include <ostream>
@@ -85,7 +85,7 @@
   }
 
   void Do(const Command& command);
-  // Everything works again; a minute later all is settled.
+  // Ends all faults and waits a minute for the fleet to converge.
   void Settle();
   void Check();
 
@@ -99,7 +99,7 @@
   StoreFault ChooseFault();
   std::int64_t HighestInForce() const;
   std::int64_t StoredRevision();
-  // Whether the store lacks what is in force somewhere.
+  // Whether the store has a lower revision than some daemon.
   bool IsReverted() { return StoredRevision() < HighestInForce(); }
   bool HasChangeUnderWay() const;
 
@@ -163,7 +163,7 @@
 }
 
 StoreFault Run::ChooseFault() {
-  // Half of the calls work; the kinds of failure are equally likely.
+  // Half of the calls succeed; all kinds of failure are equally likely.
   constexpr StoreFault kFaults[] = {StoreFault::kDown, StoreFault::kSilent,
                                     StoreFault::kLostReply, StoreFault::kLate};
   const std::uint64_t choice = faults_.Below(2 * std::size(kFaults));
@@ -232,7 +232,8 @@
   if (!fleet_.daemons().contains(name) || fleet_.daemons().size() < 3) {
     return;
   }
-  // What a restored store has lost must stay in force on two daemons at least.
+  // Targets that a restored store has lost must stay in force on at least two
+  // daemons.
   if (IsReverted()) {
     const auto highest = HighestInForce();
     const auto holders = std::count_if(
@@ -277,16 +278,16 @@
     bool may_be_made = false;
     for (const auto& outcome : one.outcomes) {
       if (const auto* accepted = std::get_if<ChangeAccepted>(&**outcome)) {
-        // Accepted once, under one revision, and still there.
+        // Accepted once, under one revision, and still recorded.
         const bool is_still_there = mark != nullptr;
-        // NOTE: RapidCheck can't show a null pointer.
+        // NOTE: RapidCheck cannot print a null pointer.
         RC_ASSERT(is_still_there);
         RC_ASSERT(mark->revision == accepted->revision);
         may_be_made = true;
       }
       may_be_made |= std::holds_alternative<ChangeUnknown>(**outcome);
     }
-    // What was only ever refused, lost or invalid was not made.
+    // A change that was only ever refused, lost or invalid was not made.
     const bool is_unmade = mark == nullptr;
     RC_ASSERT(is_unmade || may_be_made);
   }
--- a/tests/targets/targets_record_test.cc
+++ b/tests/targets/targets_record_test.cc
@@ -1,5 +1,5 @@
-// Records survive their encoding exactly, and nothing malformed is taken for
-// one.
+// Tests that records survive encoding exactly and that malformed bodies are
+// rejected.
 
 #include "src/targets/targets_record.h"
 
@@ -13,7 +13,7 @@
 namespace medlarspread::targets {
 namespace {
 
-// A number in [low, high) with all digits of a double in use.
+// A random number in [low, high) that uses all digits of a double.
 rc::Gen<double> AnyNumber(double low, double high) {
   constexpr std::int64_t kSteps = std::int64_t{1} << 52;
   return rc::gen::map(rc::gen::inRange<std::int64_t>(0, kSteps),
