--- a/src/targets/targets_controller.cc
+++ b/src/targets/targets_controller.cc
@@ -1,4 +1,4 @@
-// Assembles the parts of the targets' controller and posts to them.
+// Assembles the parts of the targets controller and posts tasks to them.
 
 #include "src/targets/targets_controller.h"
 
@@ -15,17 +15,17 @@
 
 namespace {
 
-// How often a starting daemon looks whether it has become ready.
+// How often a starting daemon checks whether it has become ready.
 constexpr base::Duration kReadyInterval = base::Milliseconds(50);
 
-base::Error NotNow(base::ErrorCode code, std::string detail) {
+base::Error MakeRefusal(base::ErrorCode code, std::string detail) {
   return base::MakeError(code, base::Step::kTargets, "", std::move(detail));
 }
 
 }  // namespace
 
 // Shared with the tasks posted to the control sequence. All but the
-// constructor, is_ready() and alarms() runs there.
+// constructor, is_ready() and alarms() run there.
 class TargetsController::Impl
     : public std::enable_shared_from_this<TargetsController::Impl> {
  public:
@@ -77,9 +77,9 @@
 
  private:
   bool is_settled() const { return blackboard_.membership.Read()->is_settled; }
-  // Looks again later until the answer is yes.
+  // Sets `is_ready_` once the daemon is ready; until then checks again later.
   void CheckReady();
-  // Why no change can be taken on now, if so.
+  // Returns why no change can be accepted for processing now, if so.
   std::optional<base::Error> FindObstacle() const;
 
   const TargetsSettings settings_;
@@ -91,7 +91,7 @@
   const std::shared_ptr<PeerExchange> peers_;
   const std::shared_ptr<StoreReader> reader_;
 
-  // Since when membership has been settled, while the daemon starts.
+  // When membership settled; used while the daemon starts.
   std::optional<base::MonotonicTime> settled_at_;
   bool is_stopped_ = false;
   std::atomic<bool> is_ready_ = false;
@@ -105,8 +105,9 @@
   } else if (!settled_at_) {
     settled_at_ = clock_.Now();
   }
-  // NOTE: word from one peer is not enough: it may have started from the same
-  // restored store. The wait gives more of them the time for a heartbeat.
+  // NOTE: a single peer's revision is not enough, because the peer may have
+  // started from the same restored store. The wait gives more peers time to
+  // send a heartbeat.
   const bool has_waited =
       settled_at_ && clock_.Now() - *settled_at_ >= settings_.peer_wait;
   if (held_->is_known() && has_waited &&
@@ -122,18 +123,19 @@
 
 std::optional<base::Error> TargetsController::Impl::FindObstacle() const {
   if (is_stopped_) {
-    return NotNow(base::ErrorCode::kStopping, "this VM is stopping");
+    return MakeRefusal(base::ErrorCode::kStopping, "this VM is stopping");
   }
   if (!is_ready_) {
-    return NotNow(base::ErrorCode::kUnavailable,
-                  "this VM has not learnt the targets yet");
+    return MakeRefusal(base::ErrorCode::kUnavailable,
+                       "this VM has not learnt the targets yet");
   }
   if (!is_settled()) {
-    return NotNow(base::ErrorCode::kUnavailable,
-                  "this VM does not know its peers now");
+    return MakeRefusal(base::ErrorCode::kUnavailable,
+                       "this VM does not know its peers at present");
   }
   if (changes_ >= settings_.max_changes) {
-    return NotNow(base::ErrorCode::kOverloaded, "too many changes at once");
+    return MakeRefusal(base::ErrorCode::kOverloaded,
+                       "too many changes are in progress");
   }
   return std::nullopt;
 }
--- a/tests/relay/relay_test.cc
+++ b/tests/relay/relay_test.cc
@@ -1,14 +1,15 @@
-// News from daemon to daemon, and from where a daemon takes them.
+// Tests how store updates pass between daemons, and from which source a daemon
+// reads them.
 
-#include "src/relay/news_source.h"
+#include "src/relay/update_reader.h"
 
 #include <optional>
 
 #include <gtest/gtest.h>
 
 #include "src/http1/caller_listener.h"
-#include "src/relay/news_codec.h"
-#include "src/relay/news_server.h"
+#include "src/relay/update_codec.h"
+#include "src/relay/update_server.h"
 #include "src/store/event_log.h"
 
 namespace medlarspread::relay {
@@ -19,36 +20,36 @@
 
 constexpr auto kLongest = std::chrono::seconds(20);
 
-TEST(NewsCodecTest, RoundTrip) {
-  const News news{
+TEST(UpdateCodecTest, RoundTrip) {
+  const StoreUpdate update{
       {{"a", std::string("\0x", 2), 5, 2}, {"b", std::nullopt, 6, 1}},
       {2, 6},
       42,
       Milliseconds(70),
       true};
-  const auto decoded = DecodeNews(EncodeNews(news), "peer");
+  const auto decoded = DecodeUpdate(EncodeUpdate(update), "peer");
   ASSERT_TRUE(decoded.is_ok());
-  EXPECT_EQ(decoded.value().events, news.events);
-  EXPECT_EQ(decoded.value().position, news.position);
+  EXPECT_EQ(decoded.value().events, update.events);
+  EXPECT_EQ(decoded.value().position, update.position);
   EXPECT_EQ(decoded.value().cursor, 42);
   EXPECT_EQ(decoded.value().age, Milliseconds(70));
   EXPECT_TRUE(decoded.value().is_direct);
 }
 
-TEST(NewsCodecTest, BytesCutShortAreMalformed) {
+TEST(UpdateCodecTest, BytesCutShortAreMalformed) {
   const std::string bytes =
-      EncodeNews({{{"a", "value", 5}}, {1, 6}, 42, {}, true});
+      EncodeUpdate({{{"a", "value", 5}}, {1, 6}, 42, {}, true});
   for (std::size_t size = 0; size + 1 < bytes.size(); ++size) {
-    EXPECT_FALSE(DecodeNews(bytes.substr(0, size), "peer").is_ok()) << size;
+    EXPECT_FALSE(DecodeUpdate(bytes.substr(0, size), "peer").is_ok()) << size;
   }
 }
 
-// Two daemons of one failure domain on one thread: `other` reads the store, and
-// the source under test may ask it.
-class NewsSourceTest : public testing::Test {
+// Two daemons of one failure domain on one thread: the other one reads the
+// store, and the UpdateReader under test may read from it.
+class UpdateReaderTest : public testing::Test {
  protected:
   void SetUp() override {
-    server_ = std::make_shared<NewsServer>(
+    server_ = std::make_shared<UpdateServer>(
         log_, runner_, [this] { return freshness_; },
         [this](const std::string& entry) { heard_.push_back(entry); });
     http1::CallerListener::Settings settings;
@@ -77,23 +78,24 @@
     MakeSource();
   }
 
-  void MakeSource(base::Duration first_wait = {}) {
-    source_ = std::make_shared<NewsSource>(
-        NewsSourceSettings{{"self", "n1", {}}, first_wait}, base::Clock(),
-        runner_, store_,
+  void MakeSource(base::Duration registration_wait = {}) {
+    source_ = std::make_shared<UpdateReader>(
+        UpdateReaderSettings{{"self", "n1", {}}, registration_wait},
+        base::Clock(), runner_, store_,
         std::make_shared<PeerClient>(context_, runner_, "self n1 10.0.0.1:80")
-            ->ask(),
+            ->fetch(),
         blackboard_, [this] { ++restores_; }, base::Log());
   }
 
-  // Makes the other daemon a member of the domain; the rank decides who reads.
+  // Adds the other daemon to the membership; its rank decides whether it is the
+  // store reader.
   void AddMembers(const std::string& other_domain) {
     blackboard::MembershipView view;
     view.self = "self";
     const std::string address =
         "127.0.0.1:" + std::to_string(listener_->port());
     view.members["self"].failure_domain = "n1";
-    // Names are tried until one goes before "self".
+    // Tries names until one ranks before "self".
     for (int number = 0; number < 100; ++number) {
       view.members.erase("other" + std::to_string(number - 1));
       blackboard::Member& member =
@@ -126,7 +128,7 @@
     return *changes;
   }
 
-  // Begins a watch that waits at the store; `changes` is set at its end.
+  // Starts a watch that is pending at the store; `changes` is set when it ends.
   void StartStoreWatch(std::optional<base::Result<store::Changes>>& changes) {
     source_->source().watch("", 7, Milliseconds(5'000),
                             [&changes](base::Result<store::Changes> result) {
@@ -149,36 +151,36 @@
   blackboard::Blackboard blackboard_;
   store::EventLog log_{100};
   std::optional<Freshness> freshness_ = Freshness{{}, true};
-  std::shared_ptr<NewsServer> server_;
+  std::shared_ptr<UpdateServer> server_;
   std::shared_ptr<http1::CallerListener> listener_;
   store::EventSource store_;
   base::Result<store::Page> store_page_ = store::Page{{}, true, 7, 7};
   std::function<void(base::Result<store::Changes>)> store_watch_;
-  std::shared_ptr<NewsSource> source_;
+  std::shared_ptr<UpdateReader> source_;
   base::Duration store_wait_{};
   int asked_ = 0;
   int store_calls_ = 0;
-  // How often the source has said that the store was restored.
+  // How often the UpdateReader has reported a restore of the store.
   int restores_ = 0;
-  // What askers said of themselves.
+  // The descriptions that followers sent.
   std::vector<std::string> heard_;
 };
 
-TEST_F(NewsSourceTest, AloneItReadsTheStore) {
+TEST_F(UpdateReaderTest, SingleDaemonReadsTheStore) {
   EXPECT_TRUE(source_->is_reader());
   EXPECT_TRUE(List().is_ok());
   EXPECT_EQ(store_calls_, 1);
   EXPECT_TRUE(source_->freshness()->is_direct);
 }
 
-TEST_F(NewsSourceTest, AsksTheReaderOfItsDomain) {
+TEST_F(UpdateReaderTest, AsksTheReaderOfItsDomain) {
   AddMembers("n1");
   log_.Append({{"a", "1", 5}});
   const auto page = List();
   ASSERT_TRUE(page.is_ok());
   EXPECT_EQ(page.value().items.size(), 1U);
   EXPECT_EQ(store_calls_, 0);
-  // A change reaches a request that waits.
+  // A change answers the pending request.
   runner_.After(Milliseconds(20), [this] {
     log_.Append({{"b", "1", 6}});
     server_->DidAppend();
@@ -189,17 +191,18 @@
   EXPECT_EQ(changes.value().events[0].key, "b");
 }
 
-TEST_F(NewsSourceTest, AFollowerSaysWhoItIs) {
+TEST_F(UpdateReaderTest, FollowerIdentifiesItself) {
   AddMembers("n1");
   const auto page = List();
   ASSERT_TRUE(page.is_ok());
-  // Who asks once does not follow yet: in an outage all ask all.
+  // A daemon that lists once is not a follower yet: during an outage every
+  // daemon tries every other.
   EXPECT_EQ(heard_, std::vector<std::string>{});
   (void)Watch(page.value().cursor);
   EXPECT_EQ(heard_, std::vector<std::string>{"self n1 10.0.0.1:80"});
 }
 
-TEST_F(NewsSourceTest, StrongVmsReadForTheSmallOnes) {
+TEST_F(UpdateReaderTest, StrongVmsReadForTheSmallOnes) {
   blackboard::MembershipView view;
   view.self = "self";
   for (int number = 0; number < 20; ++number) {
@@ -217,7 +220,7 @@
   EXPECT_FALSE(source_->is_reader());
 }
 
-TEST_F(NewsSourceTest, WithoutNewsTheAnswerComesAfterAShortWait) {
+TEST_F(UpdateReaderTest, LongPollWithoutChangesTimesOut) {
   AddMembers("n1");
   const auto page = List();
   const auto changes = Watch(page.value().cursor);
@@ -225,18 +228,18 @@
   EXPECT_TRUE(changes.value().events.empty());
 }
 
-// Guards against a follower that waits for news of a reader that has lost the
-// store, although they have become too old.
-TEST_F(NewsSourceTest, ARequestIsAnsweredOnceTheNewsGrowTooOld) {
+// Guards against a follower that keeps waiting for updates of a peer that has
+// lost the store, although the peer's data have become stale.
+TEST_F(UpdateReaderTest, LongPollEndsWhenUpdatesBecomeStale) {
   AddMembers("n1");
   const auto page = List();
-  freshness_ = Freshness{kMostNewsAge - Milliseconds(50), true};
+  freshness_ = Freshness{kMaxUpdateAge - Milliseconds(50), true};
   const auto began = std::chrono::steady_clock::now();
   ASSERT_TRUE(Watch(page.value().cursor).is_ok());
-  EXPECT_LT(std::chrono::steady_clock::now() - began, kNewsWait / 2);
+  EXPECT_LT(std::chrono::steady_clock::now() - began, kLongPollWait / 2);
 }
 
-TEST_F(NewsSourceTest, ACursorOfAnotherProcessMeansReadingAnew) {
+TEST_F(UpdateReaderTest, CursorOfAnotherProcessIsExpired) {
   AddMembers("n1");
   (void)List();
   const auto changes = Watch(3);
@@ -244,7 +247,7 @@
   EXPECT_EQ(changes.error().code, ErrorCode::kExpired);
 }
 
-TEST_F(NewsSourceTest, LeavesAReaderThatHasLostTheStore) {
+TEST_F(UpdateReaderTest, SwitchesAwayFromAReaderCutOffFromTheStore) {
   AddMembers("n1");
   const auto page = List();
   freshness_ = Freshness{Milliseconds(3'000), true};
@@ -256,38 +259,40 @@
   EXPECT_EQ(store_calls_, 1);
 }
 
-// The first reading may be old: it serves until it is known whom to follow.
-TEST_F(NewsSourceTest, TheFirstReadingOfAllIsACheapOne) {
-  int cheap = 0;
-  store_.list_stale = [this, &cheap](
+// The first list may be stale: it only has to serve until it is known which
+// peer to follow.
+TEST_F(UpdateReaderTest, FirstListIsStale) {
+  int stale_lists = 0;
+  store_.list_stale = [this, &stale_lists](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
-    ++cheap;
+    ++stale_lists;
     done(store_page_);
   };
   MakeSource();
   ASSERT_TRUE(List().is_ok());
-  EXPECT_EQ(cheap, 1);
+  EXPECT_EQ(stale_lists, 1);
   EXPECT_EQ(store_calls_, 0);
-  // Nobody is to follow what may be old, and nothing goes on from it.
+  // A stale read must not be offered to followers, nor continued by a watch.
   EXPECT_FALSE(source_->freshness().has_value());
   AddMembers("n1");
   EXPECT_EQ(Watch(7).error().code, ErrorCode::kExpired);
   EXPECT_TRUE(List().is_ok());
-  // What has changed, which it does not know, and then everything.
+  // The request for the changes, which the peer cannot answer, and then for all
+  // keys.
   EXPECT_EQ(asked_, 2);
   EXPECT_EQ(store_calls_, 0);
   EXPECT_TRUE(source_->freshness().has_value());
 }
 
-// At the first start of a fleet nobody is known yet: the weak wait for the
-// strong, so that a hundred of them don't all read for themselves.
-TEST_F(NewsSourceTest, WhoKnowsNobodyWaitsForOthersToRegister) {
-  int cheap = 0;
-  store_.list_stale = [this, &cheap](
+// At the first start of a fleet no peers are known: weak daemons wait for
+// strong ones to register, so that a hundred of them do not all list the store.
+TEST_F(UpdateReaderTest, WaitsForRegistrationsWhenNoPeersAreKnown) {
+  int stale_lists = 0;
+  store_.list_stale = [this, &stale_lists](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
-    ++cheap;
+    ++stale_lists;
     done(store_page_);
   };
   MakeSource(Milliseconds(60));
@@ -297,9 +302,9 @@
   ASSERT_TRUE(List().is_ok());
   EXPECT_GE(std::chrono::steady_clock::now() - began,
             std::chrono::milliseconds(55));
-  EXPECT_EQ(cheap, 2);
+  EXPECT_EQ(stale_lists, 2);
   EXPECT_EQ(store_calls_, 0);
-  // Somebody has registered meanwhile, and is followed.
+  // A peer has registered meanwhile and is followed.
   AddMembers("n1");
   EXPECT_EQ(Watch(7).error().code, ErrorCode::kExpired);
   ASSERT_TRUE(List().is_ok());
@@ -307,13 +312,14 @@
   EXPECT_EQ(store_calls_, 0);
 }
 
-// While the store turns calls away at the start, nothing is waited for.
-TEST_F(NewsSourceTest, ACheapReadingThatFailedIsMadeAgainAtOnce) {
-  int cheap = 0;
-  store_.list_stale = [this, &cheap](
+// If the store rejects the first call, the retry does not wait for
+// registrations.
+TEST_F(UpdateReaderTest, FailedStaleListIsRetriedAtOnce) {
+  int stale_lists = 0;
+  store_.list_stale = [this, &stale_lists](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
-    ++cheap;
+    ++stale_lists;
     done(store_page_);
   };
   MakeSource(Milliseconds(60'000));
@@ -322,11 +328,11 @@
   EXPECT_FALSE(List().is_ok());
   store_page_ = store::Page{{{"a", "1", 5}}, true, 9, 9};
   EXPECT_TRUE(List().is_ok());
-  EXPECT_EQ(cheap, 2);
+  EXPECT_EQ(stale_lists, 2);
 }
 
-// After a restart the changes of some seconds are asked for, not everything.
-TEST_F(NewsSourceTest, GoesOnFromTheRevisionOfTheCheapReading) {
+// After a restart only the changes of some seconds are requested, not all keys.
+TEST_F(UpdateReaderTest, ResumesFromTheRevisionOfTheStaleList) {
   store_page_ = store::Page{{{"a", "1", 5}, {"b", "1", 7}}, true, 9, 9};
   store_.list_stale = [this](
                           const std::string&, const std::string&,
@@ -336,7 +342,7 @@
   MakeSource();
   const auto page = List();
   ASSERT_TRUE(page.is_ok());
-  // The store's own revision may be ahead of a page that is old.
+  // The store's revision may be ahead of a stale page.
   EXPECT_EQ(page.value().revision, 7);
   AddMembers("n1");
   log_.DidList({0, 6});
@@ -347,7 +353,7 @@
   EXPECT_EQ(changes.value().events,
             (std::vector<store::Event>{{"a", std::nullopt, 8}, {"c", "1", 9}}));
   EXPECT_EQ(store_calls_, 0);
-  // From there it goes on by the peer's cursor.
+  // Further changes are read by the peer's cursor.
   log_.Append({{"d", "1", 10}});
   server_->DidAppend();
   const auto more = Watch(changes.value().cursor);
@@ -355,7 +361,7 @@
   EXPECT_EQ(more.value().events, (std::vector<store::Event>{{"d", "1", 10}}));
 }
 
-TEST_F(NewsSourceTest, ReadsAllFromAPeerThatDoesNotKnowEnough) {
+TEST_F(UpdateReaderTest, ListsFromAPeerThatLacksHistory) {
   store_page_ = store::Page{{{"a", "1", 5}}, true, 9, 9};
   store_.list_stale = [this](
                           const std::string&, const std::string&,
@@ -374,7 +380,7 @@
   EXPECT_EQ(store_calls_, 0);
 }
 
-TEST_F(NewsSourceTest, AReaderReadsAnewAfterTheCheapReading) {
+TEST_F(UpdateReaderTest, ReaderListsAgainAfterTheStaleList) {
   store_.list_stale = [this](
                           const std::string&, const std::string&,
                           std::function<void(base::Result<store::Page>)> done) {
@@ -389,12 +395,12 @@
   EXPECT_TRUE(source_->freshness()->is_direct);
 }
 
-// While the store is away for everybody, its reader's news are as young as any:
-// nothing is read anew, from nobody.
-TEST_F(NewsSourceTest, StaysWithItsReaderWhileNobodyHasYoungerNews) {
+// During a store outage the store reader's data are as fresh as any, so nothing
+// is listed again.
+TEST_F(UpdateReaderTest, KeepsItsReaderWhileNoSourceIsFresher) {
   AddMembers("n1");
   blackboard::MembershipView view = *blackboard_.membership.Read();
-  // So many that this daemon does not ask the store itself.
+  // Enough members that this daemon does not use the store itself.
   for (int number = 200; number < 240; ++number) {
     const std::string name = "more" + std::to_string(number);
     view.members[name] = view.members.begin()->second;
@@ -412,7 +418,7 @@
   EXPECT_EQ(store_calls_, 0);
 }
 
-TEST_F(NewsSourceTest, TurnsToTheStoreWhenTheReaderIsGone) {
+TEST_F(UpdateReaderTest, FallsBackToTheStoreWhenTheReaderIsDown) {
   AddMembers("n1");
   listener_->StopAccepting();
   EXPECT_FALSE(List().is_ok());
@@ -420,7 +426,7 @@
   EXPECT_EQ(store_calls_, 1);
 }
 
-TEST_F(NewsSourceTest, AsksTheStoreAgainBeforeItAsksOtherDomains) {
+TEST_F(UpdateReaderTest, AsksTheStoreAgainBeforeItAsksOtherDomains) {
   AddMembers("s1");
   (void)List();
   store_page_ = base::MakeError(ErrorCode::kConnectionLost,
@@ -428,13 +434,13 @@
   EXPECT_FALSE(List().is_ok());
   EXPECT_FALSE(List().is_ok());
   EXPECT_EQ(asked_, 0);
-  // After two failures the reader of the other domain is asked.
+  // After two failures the store reader of the other domain is used.
   EXPECT_TRUE(List().is_ok());
   EXPECT_EQ(asked_, 1);
   EXPECT_FALSE(source_->freshness()->is_direct);
 }
 
-TEST_F(NewsSourceTest, NeverFollowsAReaderThatFollowsAnother) {
+TEST_F(UpdateReaderTest, NeverFollowsAnIndirectReader) {
   AddMembers("s1");
   (void)List();
   store_page_ = base::MakeError(ErrorCode::kConnectionLost,
@@ -444,13 +450,13 @@
   freshness_ = Freshness{{}, false};
   const auto page = List();
   (void)Watch(page.is_ok() ? page.value().cursor : 0);
-  // It is left alone from then on, and the store is what is asked.
+  // It is skipped from then on, and the store is used.
   const int asked = asked_;
   (void)List();
   EXPECT_EQ(asked_, asked);
 }
 
-TEST_F(NewsSourceTest, ARenewalSaysNothingOfNewsFromAPeer) {
+TEST_F(UpdateReaderTest, RenewalDoesNotRefreshPeerUpdates) {
   AddMembers("n1");
   freshness_ = Freshness{Milliseconds(1'500), true};
   (void)List();
@@ -458,7 +464,7 @@
   EXPECT_GE(source_->freshness()->age, Milliseconds(1'500));
 }
 
-TEST_F(NewsSourceTest, AFailedRenewalEndsAWatchThatTheStoreMayHaveLost) {
+TEST_F(UpdateReaderTest, FailedRenewalAbortsThePendingWatch) {
   (void)List();
   std::optional<base::Result<store::Changes>> changes;
   const auto watch = [this, &changes] {
@@ -473,10 +479,10 @@
   ASSERT_TRUE(changes.has_value());
   EXPECT_EQ(changes->error().code, ErrorCode::kTimeout);
   EXPECT_FALSE(source_->freshness()->is_direct);
-  // The next watch is short: it too may be sent into the silence.
+  // The next watch is short, because the store may still be silent.
   watch();
   EXPECT_LE(store_wait_, Milliseconds(200));
-  // What the lost one ends with is not taken for the end of this one.
+  // A late result of the lost watch must not end this one.
   lost(store::Changes{{}, 7});
   EXPECT_FALSE(changes.has_value());
   std::exchange(store_watch_, nullptr)(store::Changes{{}, 7});
@@ -484,9 +490,10 @@
   EXPECT_TRUE(source_->freshness()->is_direct);
 }
 
-// Guards against a watch that goes on in the restored store, which knows its
-// cursor again: what was written between the copy and there would be missed.
-TEST_F(NewsSourceTest, AWatchThatIsAnsweredInALaterEraIsNotGoneOnWith) {
+// Guards against continuing a watch in the restored store, where its cursor
+// stands for another change: whatever was written between the backup and that
+// revision would be missed.
+TEST_F(UpdateReaderTest, WatchAnsweredInALaterEraExpires) {
   store_page_ = store::Page{{}, true, 7, 7, 1};
   (void)List();
   std::optional<base::Result<store::Changes>> changes;
@@ -498,9 +505,9 @@
   EXPECT_EQ(changes->error().code, ErrorCode::kExpired);
 }
 
-// Guards against a daemon that waits for its watch's end although another call
-// was answered by the restored store.
-TEST_F(NewsSourceTest, ALaterEraInAnyAnswerEndsTheWatchThatWaits) {
+// Guards against a daemon that keeps waiting for its watch although another
+// call has shown that the store was restored.
+TEST_F(UpdateReaderTest, LaterEraInAnyAnswerAbortsThePendingWatch) {
   store_page_ = store::Page{{}, true, 7, 7, 1};
   (void)List();
   std::optional<base::Result<store::Changes>> changes;
@@ -514,7 +521,7 @@
   EXPECT_EQ(restores_, 1);
 }
 
-TEST_F(NewsSourceTest, AReadingWhosePagesAreOfTwoErasEnds) {
+TEST_F(UpdateReaderTest, ListWithPagesOfTwoErasExpires) {
   store_page_ = store::Page{{{"a", "1", 5, 1}}, false, 7, 7, 1};
   (void)List();
   store_page_ = store::Page{{{"b", "1", 5, 2}}, true, 6, 6, 2};
@@ -527,9 +534,8 @@
   EXPECT_EQ(page->error().code, ErrorCode::kExpired);
 }
 
-// What a peer has told in the earlier era is gone on with in the later one: its
-// cursor counts its own changes.
-TEST_F(NewsSourceTest, APeerPassesALaterEraOn) {
+// A peer's cursor counts the peer's own changes, so it stays valid across eras.
+TEST_F(UpdateReaderTest, PeerForwardsALaterEra) {
   AddMembers("n1");
   log_.Append({{"a", "1", 90, 1}});
   const auto page = List();
@@ -543,9 +549,9 @@
   EXPECT_EQ(restores_, 1);
 }
 
-// Guards against news of the time before a restore, from a daemon that has not
-// heard of it yet.
-TEST_F(NewsSourceTest, APeerThatIsInAnEarlierEraIsNotReadFrom) {
+// Guards against updates from before a restore, sent by a daemon that has not
+// noticed the restore yet.
+TEST_F(UpdateReaderTest, PeerInAnEarlierEraIsNotUsed) {
   AddMembers("n1");
   log_.Append({{"a", "1", 90, 1}});
   const auto page = List();
@@ -554,15 +560,16 @@
   const auto changes = Watch(page.value().cursor);
   ASSERT_FALSE(changes.is_ok());
   EXPECT_EQ(changes.error().code, ErrorCode::kExpired);
-  // The store is asked instead.
+  // The store is used instead.
   store_page_ = store::Page{{{"a", "2", 40, 2}}, true, 50, 50, 2};
   const auto again = List();
   ASSERT_TRUE(again.is_ok());
   EXPECT_EQ(store_calls_, 1);
 }
 
-// Daemons of an earlier version pass no era on; their news count as of now.
-TEST_F(NewsSourceTest, NewsWithoutAnEraAreOfTheOneThatIsKnown) {
+// Daemons of an earlier version send no era; their updates are taken as of the
+// current one.
+TEST_F(UpdateReaderTest, UpdatesWithoutAnEraTakeTheKnownOne) {
   AddMembers("n1");
   source_->DidSeeEra(3);
   log_.Append({{"a", "1", 90}});
@@ -571,8 +578,8 @@
   EXPECT_EQ(page.value().items, (std::vector<store::Event>{{"a", "1", 90, 3}}));
 }
 
-// Daemons of an earlier version ask for the changes since a revision.
-TEST_F(NewsSourceTest, ARevisionThatIsNotReachedIsOfAnEarlierEra) {
+// Daemons of an earlier version request the changes since a revision.
+TEST_F(UpdateReaderTest, RevisionAboveTheKnownOneIsGone) {
   log_.DidList({2, 30});
   log_.Append({{"a", "1", 40, 2}});
   const auto status_of = [this](const std::string& target) {
@@ -590,7 +597,7 @@
   EXPECT_EQ(status_of("/news?position=2"), http1::Status::not_found);
 }
 
-TEST_F(NewsSourceTest, ADaemonThatHasReadNothingSaysSo) {
+TEST_F(UpdateReaderTest, DaemonWithoutDataAnswersUnavailable) {
   AddMembers("n1");
   freshness_.reset();
   EXPECT_FALSE(List().is_ok());
--- a/tests/relay/news_fleet_test.cc
+++ b/tests/relay/update_fleet_test.cc
@@ -1,6 +1,7 @@
-// How long after the store took a change the last daemon of a fleet has it, in
-// virtual time and without a network: the production classes decide, only the
-// store and the way between the daemons are modelled.
+// Measures the time from the store's acknowledgement of a change until the last
+// daemon of a fleet has it. Runs in virtual time and without a network: the
+// production classes make the decisions, and only the store and the connections
+// between daemons are simulated.
 
 #include <algorithm>
 #include <map>
@@ -11,9 +12,9 @@
 
 #include <gtest/gtest.h>
 
-#include "src/relay/change_delays.h"
-#include "src/relay/news_server.h"
-#include "src/relay/news_source.h"
+#include "src/relay/propagation_delays.h"
+#include "src/relay/update_reader.h"
+#include "src/relay/update_server.h"
 #include "src/store/event_log.h"
 #include "src/store/follower.h"
 #include "tests/support/model_store.h"
@@ -34,35 +35,36 @@
 
 struct FleetSize {
   int daemons = 0;
-  // The first ones of each domain; the others have an eighth of a core.
+  // The first daemons of each domain are strong; the others have an eighth of a
+  // core.
   int strong_in_domain = 0;
 };
 
 class Fleet;
 
-// One daemon as far as it follows the store.
-class NewsDaemon {
+// The parts of a daemon that follow the store.
+class FleetDaemon {
  public:
-  NewsDaemon(Fleet& fleet, std::string name, std::uint64_t seed);
+  FleetDaemon(Fleet& fleet, std::string name, std::uint64_t seed);
 
   void Start();
-  // From then on it neither asks nor answers.
+  // From then on it neither sends requests nor answers them.
   void Kill();
   void Handle(const http1::Request& request, http1::Respond respond);
   bool is_alive() const { return is_alive_; }
-  // While cut off, it does not reach the store.
+  // While cut off, it cannot reach the store.
   void set_cut_off(bool is_cut_off) { is_cut_off_ = is_cut_off; }
   bool is_reader() const { return source_->is_reader(); }
-  // The highest version so far.
+  // The highest version received so far.
   int version() const { return version_; }
   std::string domain() const;
 
  private:
   void DidChange(const std::vector<store::Event>& events);
   void Renew();
-  void Ask(const std::string& peer,
-           const std::string& target,
-           const std::function<void(base::Result<News>)>& done);
+  void Fetch(const std::string& peer,
+             const std::string& target,
+             const std::function<void(base::Result<StoreUpdate>)>& done);
 
   Fleet& fleet_;
   const std::string name_;
@@ -71,8 +73,8 @@
   int version_ = 0;
   store::EventSource store_;
   store::EventLog log_;
-  std::shared_ptr<NewsSource> source_;
-  std::shared_ptr<NewsServer> server_;
+  std::shared_ptr<UpdateReader> source_;
+  std::shared_ptr<UpdateServer> server_;
   std::shared_ptr<store::Follower> follower_;
 };
 
@@ -97,7 +99,7 @@
     }
     for (const auto& [name, member] : view.members) {
       daemons[name] =
-          std::make_unique<NewsDaemon>(*this, name, random.Below(1'000'000));
+          std::make_unique<FleetDaemon>(*this, name, random.Below(1'000'000));
     }
     for (const auto& [name, daemon] : daemons) {
       daemon->Start();
@@ -109,13 +111,13 @@
   void Advance(base::Duration time_to_pass) {
     scheduler->Advance(time_to_pass);
   }
-  // Up to `most`, by chance.
+  // A random duration below `most`.
   base::Duration Chance(base::Duration most) {
     return base::Duration(static_cast<std::int64_t>(
         random.Below(static_cast<std::uint64_t>(most.count()))));
   }
-  // A daemon that reads the store for its failure domain.
-  NewsDaemon& FirstReader() {
+  // The first daemon that reads the store for its failure domain.
+  FleetDaemon& FirstReader() {
     return *std::find_if(daemons.begin(), daemons.end(), [](const auto& row) {
               return row.second->is_reader();
             })->second;
@@ -125,18 +127,18 @@
     store.Write(kConfiguration, std::to_string(version));
     return version;
   }
-  bool IsInForce(const NewsDaemon* left_out) const {
+  bool IsInForce(const FleetDaemon* left_out) const {
     return std::all_of(daemons.begin(), daemons.end(),
                        [this, left_out](const auto& row) {
-                         const NewsDaemon& daemon = *row.second;
+                         const FleetDaemon& daemon = *row.second;
                          return !daemon.is_alive() || &daemon == left_out ||
                                 daemon.version() >= version;
                        });
   }
-  // From now until the last daemon has the newest version; kNever if it takes
-  // much longer than the bound.
+  // Returns the time from now until the last daemon has the newest version;
+  // kNever if that takes much longer than the bound.
   base::Duration AwaitInForce() { return AwaitInForceAt(nullptr); }
-  base::Duration AwaitInForceButFor(const NewsDaemon& left_out) {
+  base::Duration AwaitInForceButFor(const FleetDaemon& left_out) {
     return AwaitInForceAt(&left_out);
   }
 
@@ -151,11 +153,11 @@
   base::Random random;
   blackboard::Blackboard blackboard;
   ModelStore store{runner};
-  std::map<std::string, std::unique_ptr<NewsDaemon>> daemons;
+  std::map<std::string, std::unique_ptr<FleetDaemon>> daemons;
   int version = 1;
 
  private:
-  base::Duration AwaitInForceAt(const NewsDaemon* left_out) {
+  base::Duration AwaitInForceAt(const FleetDaemon* left_out) {
     constexpr base::Duration kStep = Milliseconds(10);
     base::Duration passed{};
     while (!IsInForce(left_out) && passed < kNever) {
@@ -165,7 +167,7 @@
     return passed;
   }
 
-  // Leaves write all the time.
+  // Simulates the steady writes of leaves.
   void Beat() {
     store.Write("servers/" + std::to_string(random.Below(10)),
                 random.Below(20) == 0 ? "draining" : "ready");
@@ -173,7 +175,7 @@
   }
 };
 
-NewsDaemon::NewsDaemon(Fleet& fleet, std::string name, std::uint64_t seed)
+FleetDaemon::FleetDaemon(Fleet& fleet, std::string name, std::uint64_t seed)
     : fleet_(fleet),
       name_(std::move(name)),
       store_(fleet.store.source(
@@ -185,14 +187,14 @@
           [this] { return !is_cut_off_; })),
       log_(static_cast<std::int64_t>(seed)) {
   const base::Clock clock(fleet_.time);
-  source_ = std::make_shared<NewsSource>(
-      NewsSourceSettings{{name_, domain(), {}}, {}}, clock, fleet_.runner,
+  source_ = std::make_shared<UpdateReader>(
+      UpdateReaderSettings{{name_, domain(), {}}, {}}, clock, fleet_.runner,
       store_,
       [this](const std::string& peer, const std::string& target, auto done) {
-        Ask(peer, target, done);
+        Fetch(peer, target, done);
       },
       fleet_.blackboard, [] {}, base::Log());
-  server_ = std::make_shared<NewsServer>(
+  server_ = std::make_shared<UpdateServer>(
       log_, fleet_.runner, [this] { return source_->freshness(); },
       [](const std::string&) {});
   follower_ = std::make_shared<store::Follower>(
@@ -210,21 +212,21 @@
       base::Log());
 }
 
-std::string NewsDaemon::domain() const {
+std::string FleetDaemon::domain() const {
   return fleet_.blackboard.membership.Read()->members.at(name_).failure_domain;
 }
 
-void NewsDaemon::Start() {
+void FleetDaemon::Start() {
   follower_->Start();
   fleet_.runner.After(fleet_.Chance(kRenewal), [this] { Renew(); });
 }
 
-void NewsDaemon::Kill() {
+void FleetDaemon::Kill() {
   is_alive_ = false;
   follower_->Stop();
 }
 
-void NewsDaemon::Renew() {
+void FleetDaemon::Renew() {
   if (!is_alive_) {
     return;
   }
@@ -244,7 +246,7 @@
   });
 }
 
-void NewsDaemon::DidChange(const std::vector<store::Event>& events) {
+void FleetDaemon::DidChange(const std::vector<store::Event>& events) {
   for (const store::Event& event : events) {
     if (event.key == kConfiguration && event.value) {
       version_ = std::max(version_, std::stoi(*event.value));
@@ -254,21 +256,23 @@
   server_->DidAppend();
 }
 
-void NewsDaemon::Handle(const http1::Request& request, http1::Respond respond) {
+void FleetDaemon::Handle(const http1::Request& request,
+                         http1::Respond respond) {
   (void)server_->Handle(request, std::move(respond));
 }
 
-void NewsDaemon::Ask(const std::string& peer,
-                     const std::string& target,
-                     const std::function<void(base::Result<News>)>& done) {
-  NewsDaemon& other = *fleet_.daemons.at(peer);
+void FleetDaemon::Fetch(
+    const std::string& peer,
+    const std::string& target,
+    const std::function<void(base::Result<StoreUpdate>)>& done) {
+  FleetDaemon& other = *fleet_.daemons.at(peer);
   const base::Duration way = other.domain() == domain() ? kOneWay : kOneWayFar;
   const auto open =
-      std::make_shared<std::function<void(base::Result<News>)>>(done);
-  const auto finish = [this, open](base::Result<News> news) {
+      std::make_shared<std::function<void(base::Result<StoreUpdate>)>>(done);
+  const auto finish = [this, open](base::Result<StoreUpdate> update) {
     if (const auto callback = std::exchange(*open, nullptr);
         callback && is_alive_) {
-      callback(std::move(news));
+      callback(std::move(update));
     }
   };
   fleet_.runner.After(AnswerTimeout(target), [finish, peer] {
@@ -276,7 +280,7 @@
                            peer, ""));
   });
   fleet_.runner.After(way, [this, &other, target, peer, way, finish] {
-    // One that is gone is silent, as a VM without power is.
+    // A killed daemon never answers, like a VM without power.
     if (!other.is_alive()) {
       return;
     }
@@ -290,8 +294,8 @@
   });
 }
 
-// A trouble, and the change that falls into it or after it. Returns when the
-// last daemon has the change, from when the store took it.
+// Causes a fault and makes a change during it or after it. Returns the time
+// from the store's acknowledgement until the last daemon has the change.
 using Case = base::Duration (*)(Fleet&);
 
 base::Duration Calm(Fleet& fleet) {
@@ -300,8 +304,8 @@
   return fleet.AwaitInForce();
 }
 
-// The store comes back from a copy; operators write again what was lost and
-// change the routes within two seconds.
+// The store is restored from a backup. Operators write the lost change again
+// and change the routes within two seconds.
 base::Duration Restored(Fleet& fleet) {
   fleet.store.TakeCopy();
   fleet.Advance(Milliseconds(100) + fleet.Chance(Milliseconds(10'000)));
@@ -320,8 +324,8 @@
   return fleet.AwaitInForce();
 }
 
-// The store comes back within a moment, and the changes go on: no watch of the
-// earlier era is turned away.
+// The store is restored without an outage while changes go on, so that no watch
+// of the earlier era is rejected.
 base::Duration RestoredInAMoment(Fleet& fleet) {
   fleet.store.TakeCopy();
   fleet.Advance(Milliseconds(100) + fleet.Chance(Milliseconds(1'500)));
@@ -331,17 +335,17 @@
   return fleet.AwaitInForce();
 }
 
-// A reader of the store loses power at the moment of the change.
+// A store reader loses power at the moment of the change.
 base::Duration ReaderKilled(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'500)));
-  NewsDaemon& reader = fleet.FirstReader();
+  FleetDaemon& reader = fleet.FirstReader();
   reader.Kill();
   fleet.Advance(fleet.Chance(Milliseconds(50)));
   fleet.Change();
   return fleet.AwaitInForce();
 }
 
-// The store falls silent or cuts all connections for some time; the change is
+// The store goes silent or resets all connections for some time; the change is
 // made when it is back.
 base::Duration StoreAway(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'000)));
@@ -353,33 +357,33 @@
   return fleet.AwaitInForce();
 }
 
-// The reader of one failure domain has lost the store for a while, alone.
+// Only the store reader of one failure domain cannot reach the store.
 base::Duration ReaderCutOff(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'500)));
-  NewsDaemon& reader = fleet.FirstReader();
+  FleetDaemon& reader = fleet.FirstReader();
   reader.set_cut_off(true);
   fleet.Advance(fleet.Chance(Milliseconds(4'000)));
   fleet.Change();
   return fleet.AwaitInForceButFor(reader);
 }
 
-struct NewsCase {
+struct FaultCase {
   const char* name;
   Case play;
 };
 
-class NewsFleetTest
-    : public testing::TestWithParam<std::tuple<NewsCase, FleetSize>> {};
+class UpdateFleetTest
+    : public testing::TestWithParam<std::tuple<FaultCase, FleetSize>> {};
 
-TEST_P(NewsFleetTest, AChangeIsInForceInTime) {
-  const auto& [news_case, size] = GetParam();
-  // A run of the large fleet takes a quarter of a second.
+TEST_P(UpdateFleetTest, ChangePropagatesWithinTheBound) {
+  const auto& [fault_case, size] = GetParam();
+  // One run of the large fleet takes a quarter of a second.
   const std::uint64_t seeds = size.daemons > 100 ? 8 : 60;
   std::vector<base::Duration> times;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Fleet fleet(size, seed);
-    times.push_back(news_case.play(fleet));
-    EXPECT_LE(times.back(), kChangeBound)
+    times.push_back(fault_case.play(fleet));
+    EXPECT_LE(times.back(), kPropagationBound)
         << "seed " << seed << ": " << times.back().count() / 1000 << " ms";
   }
   std::sort(times.begin(), times.end());
@@ -388,10 +392,10 @@
   RecordProperty("worst_ms", std::to_string(times.back().count() / 1000));
 }
 
-// Guards against a bound that is kept unless a change falls into the worst
-// moment of the waits on its way: the one reader of a failure domain loses the
-// store at each phase of its rest, watch and renewal, and the change follows.
-TEST(NewsPhaseTest, NoPhaseOfALostReaderBreaksTheBound) {
+// Guards against a bound that holds only if the fault does not meet the worst
+// moment of a wait. The store reader of one failure domain loses the store at
+// each phase of its pause, watch and lease renewal, and the change follows.
+TEST(UpdatePhaseTest, ReaderLossAtAnyPhaseStaysWithinTheBudget) {
   constexpr base::Duration kPhases = Milliseconds(2'000);
   constexpr base::Duration kStep = Milliseconds(20);
   base::Duration worst{};
@@ -399,12 +403,12 @@
     for (base::Duration phase{}; phase < kPhases; phase += kStep) {
       Fleet fleet({9, 3}, seed);
       fleet.Advance(phase);
-      NewsDaemon& reader = fleet.FirstReader();
+      FleetDaemon& reader = fleet.FirstReader();
       reader.set_cut_off(true);
       fleet.Advance(Milliseconds(1));
       fleet.Change();
       const base::Duration time = fleet.AwaitInForceButFor(reader);
-      EXPECT_LE(time, kMostDelay)
+      EXPECT_LE(time, kPropagationBudget)
           << "seed " << seed << ", phase " << phase.count() / 1000
           << " ms: " << time.count() / 1000 << " ms";
       worst = std::max(worst, time);
@@ -419,14 +423,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Cases,
-    NewsFleetTest,
-    testing::Combine(testing::Values(NewsCase{"Calm", Calm},
-                                     NewsCase{"Restored", Restored},
-                                     NewsCase{"RestoredInAMoment",
-                                              RestoredInAMoment},
-                                     NewsCase{"StoreAway", StoreAway},
-                                     NewsCase{"ReaderKilled", ReaderKilled},
-                                     NewsCase{"ReaderCutOff", ReaderCutOff}),
+    UpdateFleetTest,
+    testing::Combine(testing::Values(FaultCase{"Calm", Calm},
+                                     FaultCase{"Restored", Restored},
+                                     FaultCase{"RestoredInAMoment",
+                                               RestoredInAMoment},
+                                     FaultCase{"StoreAway", StoreAway},
+                                     FaultCase{"ReaderKilled", ReaderKilled},
+                                     FaultCase{"ReaderCutOff", ReaderCutOff}),
                      testing::Values(kSmall, kGrown, kLarge)),
     [](const auto& info) {
       return std::get<0>(info.param).name +
--- a/tests/store/event_log_test.cc
+++ b/tests/store/event_log_test.cc
@@ -1,4 +1,4 @@
-// EventLog: everything, changes since a cursor, and what is forgotten.
+// Tests EventLog: all items, changes since a cursor or position, and trimming.
 
 #include "src/store/event_log.h"
 
@@ -16,18 +16,19 @@
 TEST(EventLogTest, KnowsTheLastValueOfEachKey) {
   EventLog log(100);
   log.Append({{"a", "1", 5}, {"b", "1", 6}, {"a", std::nullopt, 7}});
-  const auto everything = log.Everything();
+  const auto everything = log.AllItems();
   ASSERT_EQ(everything.size(), 1U);
   EXPECT_EQ(everything[0].key, "b");
   EXPECT_EQ(log.position(), (Position{0, 7}));
 }
 
-TEST(EventLogTest, TellsWhatChangedSinceACursor) {
+TEST(EventLogTest, ReturnsChangesAfterACursor) {
   EventLog log(100);
   log.Append({{"a", "1", 5}});
   const auto cursor = log.cursor();
   EXPECT_TRUE(log.ChangesAfter(cursor)->empty());
-  // Told of late, with a revision that is older than what was read before.
+  // A removal that is reported late, with a revision below those reported
+  // before.
   log.Append({{"a", std::nullopt, 4}});
   ASSERT_EQ(log.ChangesAfter(cursor)->size(), 1U);
 }
@@ -39,7 +40,7 @@
   EXPECT_FALSE(log.ChangesAfter(log.cursor() + 1).has_value());
 }
 
-TEST(EventLogTest, OldChangesAreForgotten) {
+TEST(EventLogTest, OldChangesAreTrimmed) {
   EventLog log(0);
   for (int revision = 1; revision <= 5'000; ++revision) {
     log.Append({{"a", std::to_string(revision), revision}});
@@ -48,41 +49,41 @@
   EXPECT_EQ(log.ChangesAfter(4'990)->size(), 10U);
 }
 
-TEST(EventLogTest, TellsWhatIsLackingSinceARevision) {
+TEST(EventLogTest, ReturnsChangesSinceARevision) {
   EventLog log(100);
   log.DidList({0, 10});
   log.Append({{"a", "1", 5}, {"b", "1", 9}});
   log.Append({{"c", "1", 12}, {"a", std::nullopt, 13}, {"b", "2", 14}});
-  const auto lacking = log.ChangesSince({0, 11});
-  ASSERT_TRUE(lacking.has_value());
-  EXPECT_EQ(*lacking,
+  const auto missing = log.ChangesSince({0, 11});
+  ASSERT_TRUE(missing.has_value());
+  EXPECT_EQ(*missing,
             (std::vector<Event>{
                 {"c", "1", 12}, {"a", std::nullopt, 13}, {"b", "2", 14}}));
   EXPECT_TRUE(log.ChangesSince({0, 14})->empty());
 }
 
-// What came and went before the first reading was never heard of here, and
-// somebody else may still believe in it.
-TEST(EventLogTest, BeforeTheFirstReadingNotAllRemovalsAreKnown) {
+// Keys that came and went before the first list are unknown here, but a
+// follower may still hold them.
+TEST(EventLogTest, RemovalsBeforeTheFirstListAreUnknown) {
   EventLog log(100);
   EXPECT_FALSE(log.ChangesSince({0, 11}).has_value());
   log.DidList({0, 10});
   log.Append({{"a", "1", 5}});
   EXPECT_FALSE(log.ChangesSince({0, 9}).has_value());
   EXPECT_TRUE(log.ChangesSince({0, 10}).has_value());
-  // Another reading of everything hides what came and went before it, too.
+  // Another full list also hides keys that came and went before it.
   log.DidList({0, 20});
   EXPECT_FALSE(log.ChangesSince({0, 19}).has_value());
 }
 
-TEST(EventLogTest, AKeyThatCameBackIsNoRemoval) {
+TEST(EventLogTest, RewrittenKeyIsNotARemoval) {
   EventLog log(100);
   log.DidList({0, 1});
   log.Append({{"a", std::nullopt, 3}, {"a", "2", 4}});
   EXPECT_EQ(*log.ChangesSince({0, 2}), (std::vector<Event>{{"a", "2", 4}}));
 }
 
-TEST(EventLogTest, OldRemovalsAreForgotten) {
+TEST(EventLogTest, OldRemovalsAreTrimmed) {
   EventLog log(0);
   log.DidList({0, 0});
   for (int revision = 1; revision <= 5'000; ++revision) {
@@ -92,9 +93,9 @@
   EXPECT_EQ(log.ChangesSince({0, 4'990})->size(), 10U);
 }
 
-// Guards against asking for the changes since a revision that the restored
-// store has given out again, for another change.
-TEST(EventLogTest, WhoKnowsAnEarlierEraOnlyLacksEverything) {
+// Guards against answering from a revision that the restored store has assigned
+// again, for a different change.
+TEST(EventLogTest, PositionOfAnotherEraHasNoChanges) {
   EventLog log(100);
   log.DidList({1, 10});
   log.Append({{"a", "1", 12, 1}});
@@ -103,12 +104,12 @@
   EXPECT_EQ(log.position(), (Position{2, 12}));
   EXPECT_FALSE(log.ChangesSince({1, 12}).has_value());
   EXPECT_FALSE(log.ChangesSince({3, 5}).has_value());
-  const auto lacking = log.ChangesSince({2, 11});
-  ASSERT_TRUE(lacking.has_value());
-  EXPECT_EQ(*lacking, (std::vector<Event>{{"b", "1", 12, 2}}));
+  const auto missing = log.ChangesSince({2, 11});
+  ASSERT_TRUE(missing.has_value());
+  EXPECT_EQ(*missing, (std::vector<Event>{{"b", "1", 12, 2}}));
 }
 
-TEST(EventLogTest, APositionIsReachedWithoutAChange) {
+TEST(EventLogTest, PositionAdvancesWithoutAChange) {
   EventLog log(100);
   log.Append({{"a", "1", 12, 1}});
   log.DidReach({2, 9});
@@ -117,13 +118,14 @@
   EXPECT_EQ(log.position(), (Position{2, 9}));
 }
 
-// Whoever follows by revision ends with what the other has, whenever it asks.
-TEST(EventLogTest, FollowingByRevisionMissesNothing) {
+// A follower that reads by revision ends up with the same items, whenever it
+// asks.
+TEST(EventLogTest, ChangesSinceARevisionAreComplete) {
   base::Random random(20261203);
   for (int run = 0; run < 200; ++run) {
     EventLog log(0);
     log.DidList({0, 0});
-    std::map<std::string, std::string> here;
+    std::map<std::string, std::string> follower_items;
     std::int64_t known = 0;
     for (std::int64_t revision = 1; revision <= 60; ++revision) {
       const std::string key = "k" + std::to_string(random.Below(6));
@@ -135,21 +137,22 @@
       if (random.Below(4) != 0) {
         continue;
       }
-      const auto lacking = log.ChangesSince({0, known});
-      ASSERT_TRUE(lacking.has_value());
-      for (const Event& event : *lacking) {
+      const auto missing = log.ChangesSince({0, known});
+      ASSERT_TRUE(missing.has_value());
+      for (const Event& event : *missing) {
         if (event.value) {
-          here[event.key] = *event.value;
+          follower_items[event.key] = *event.value;
         } else {
-          here.erase(event.key);
+          follower_items.erase(event.key);
         }
       }
       known = log.position().revision;
-      std::map<std::string, std::string> there;
-      for (const Event& event : log.Everything()) {
-        there[event.key] = *event.value;
+      std::map<std::string, std::string> log_items;
+      for (const Event& event : log.AllItems()) {
+        log_items[event.key] = *event.value;
       }
-      ASSERT_EQ(here, there) << "run " << run << ", revision " << revision;
+      ASSERT_EQ(follower_items, log_items)
+          << "run " << run << ", revision " << revision;
     }
   }
 }
