--- a/src/daemon/control_thread.h
+++ b/src/daemon/control_thread.h
@@ -1,5 +1,5 @@
-// The one thread for control state. All controllers run on one sequence of it,
-// so they need no locks against each other.
+// The thread that runs all controllers. They share one sequence (strand), so
+// they need no locks against each other.
 
 #ifndef MEDLARSPREAD_DAEMON_CONTROL_THREAD_H_
 #define MEDLARSPREAD_DAEMON_CONTROL_THREAD_H_
@@ -27,7 +27,7 @@
   ControlThread& operator=(const ControlThread&) = delete;
 
   boost::asio::io_context& context() { return context_; }
-  // The same sequence on each call.
+  // Posts to the sequence that all controllers share.
   const base::TaskRunner& runner() const { return runner_; }
 
  private:
--- a/src/daemon/controllers.cc
+++ b/src/daemon/controllers.cc
@@ -1,4 +1,4 @@
-// Construction of the control side.
+// Derives each controller's settings and connects the controllers.
 
 #include "src/daemon/controllers.h"
 
@@ -13,8 +13,9 @@
 
 namespace {
 
-// Cancels and health reads need connections beside a leaf's slots; a setting
-// would only let operators break the leaves' own bound, which the client keeps.
+// Leaves room for cancellations and health checks beside the requests that fill
+// a leaf's slots. Not a setting: the client already respects the limit that the
+// leaf advertises, and a setting could only violate it.
 constexpr int kInFlightPerLeaf = 64;
 
 upstream::LeafClientSettings MakeLeafClientSettings() {
@@ -31,7 +32,8 @@
   result.readers_per_failure_domain =
       settings.targets.readers_per_failure_domain;
   result.store_timeout = settings.platform.timeout;
-  // Time for a few peers to show which targets they have in force.
+  // Long enough for a few peers to report which revision of the targets they
+  // have in force.
   constexpr int kHeartbeats = 4;
   result.peer_wait = kHeartbeats * settings.membership.heartbeat;
   return result;
@@ -47,7 +49,8 @@
   result.failure_domain = settings.vm.failure_domain;
   result.incarnation = identity.incarnation;
   result.round = settings.membership.heartbeat;
-  // Silence is first suspected, then confirmed: half of the time for each.
+  // A peer that doesn't answer is first suspected, then declared gone; each
+  // phase takes half of the configured time.
   result.answer_timeout = settings.membership.gone_after / 2;
   result.suspicion_timeout = settings.membership.gone_after / 2;
   return result;
@@ -132,9 +135,9 @@
 
 upstream::UpstreamCallbacks Controllers::MakeUpstreamCallbacks() {
   upstream::UpstreamCallbacks callbacks;
-  // FIXME: every daemon reads the health of every leaf. At 1,500 daemons over
-  // 8,700 leaves the owners of a leaf's queues must read it and pass it on; see
-  // docs/CAPACITY.md.
+  // FIXME: every daemon polls the health of every leaf. With 1,500 daemons and
+  // 8,700 leaves, only the owners of a leaf's queues should poll it and forward
+  // the result; see docs/CAPACITY.md.
   callbacks.should_poll = [](const blackboard::Upstream&) { return true; };
   callbacks.did_find_draining = [this](const std::string& name) {
     membership_.NoteDrainingUpstream(name);
--- a/src/daemon/controllers.h
+++ b/src/daemon/controllers.h
@@ -1,5 +1,6 @@
-// The control side of a daemon: everything that keeps the blackboard up to date
-// and talks to the platform. All of it runs on the control thread's sequence.
+// The control plane of a daemon: the controllers that keep the blackboard (the
+// state shared with the traffic threads) up to date and call the platform. All
+// of them run on the control thread's sequence.
 
 #ifndef MEDLARSPREAD_DAEMON_CONTROLLERS_H_
 #define MEDLARSPREAD_DAEMON_CONTROLLERS_H_
@@ -29,11 +30,11 @@
 
 namespace medlarspread::daemon {
 
-// Who this process is among the daemons.
+// How other daemons identify and reach this process.
 struct DaemonIdentity {
-  // Grows with each start of the VM's process.
+  // Increases with each start of the VM's process.
   std::int64_t incarnation = 0;
-  // Where its peer links arrive, "ip:port".
+  // The address that accepts connections from peers, "ip:port".
   std::string peer_address;
 };
 
@@ -52,10 +53,11 @@
               const base::Log& log);
 
   void Start();
-  // Ends the control work. Counts and claims must have been stopped before.
+  // Stops the controllers. burn() and claims() must have been stopped before.
   void Stop();
 
-  // Whether a newer process has taken this daemon's name: it should stop.
+  // Whether a newer process runs under this daemon's name; this one must then
+  // stop.
   bool is_replaced() const { return is_replaced_.load(); }
 
   upstream::LeafClient& leaves() { return leaves_; }
@@ -72,7 +74,7 @@
   const base::Log log_;
   std::atomic<bool> is_replaced_ = false;
   store::StoreClient store_client_;
-  // The client's calls, counted.
+  // Wraps store_client_ and counts its calls in the metrics.
   const store::Store store_;
   store::VmListClient vm_list_;
   upstream::LeafClient leaves_;
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -1,4 +1,4 @@
-// The order in which a daemon is put together and taken down.
+// Startup and shutdown order of the daemon's parts.
 
 #include "src/daemon/daemon.h"
 
@@ -18,11 +18,11 @@
 constexpr Duration kReadinessInterval = base::Milliseconds(50);
 constexpr double kPercent = 100.0;
 constexpr auto kStopPoll = std::chrono::milliseconds(20);
-// How long peers may need to hear that this daemon leaves, before its queues
-// are refused to them.
+// Time for peers to learn that this daemon is leaving, before it rejects their
+// sub-queries.
 constexpr Duration kLeaveNotice = base::Milliseconds(500);
-// How long requests may take to arrive on connections that are open when no
-// more are accepted.
+// After the listener stops accepting connections, requests on connections that
+// are already open are still expected for this long.
 constexpr Duration kCloseNotice = base::Milliseconds(200);
 
 routing::Policy MakePolicy(const settings::RoutingSettings& settings) {
@@ -37,15 +37,15 @@
   return routing::QueueOwnerPolicy{settings.bundles_per_collection};
 }
 
-// What keeps a daemon from being ready, or nothing.
+// Why the daemon is not ready yet; empty if it is.
 std::string FindObstacle(const blackboard::Blackboard& blackboard,
                          const targets::TargetsController& targets) {
   const auto membership = blackboard.membership.Read();
   if (!membership->members.contains(membership->self)) {
-    return "membership has not settled";
+    return "membership is not established yet";
   }
   if (!targets.is_ready()) {
-    return "targets have not been learnt";
+    return "targets are not loaded yet";
   }
   if (blackboard.upstreams.Read()->upstreams.empty()) {
     return "no upstream is known";
@@ -177,8 +177,8 @@
   const auto before = blackboard_.lifecycle.Read();
   const std::string obstacle =
       FindObstacle(blackboard_, controllers_->targets());
-  // NOTE: a ready daemon stays ready. It goes on with what it knows when the
-  // platform or its peers are away.
+  // NOTE: a ready daemon stays ready. When the platform or its peers are
+  // unavailable, it continues with its last known state.
   if (before->state == LifecycleState::kStarting) {
     const auto state =
         obstacle.empty() ? LifecycleState::kReady : LifecycleState::kStarting;
@@ -204,12 +204,12 @@
   return is_whole;
 }
 
-// The steps of graceful_stop.h.
+// The steps are explained at the top of graceful_stop.h.
 std::vector<StopStep> Daemon::MakeStopSteps() {
   auto are_claims_settled = std::make_shared<std::atomic<bool>>(false);
   auto are_counts_written = std::make_shared<std::atomic<bool>>(false);
   return {
-      {"tell balancer and peers",
+      {"notify load balancer and peers",
        [this] {
          is_stopping_ = true;
          blackboard_.lifecycle.Write(
@@ -217,15 +217,15 @@
          controllers_->membership().Leave();
        },
        [] { return 0; }},
-      {"finish callers' requests",
+      {"finish requests of callers",
        [this] { traffic_->queries().StopAccepting(); },
        [this] {
          return traffic_->queries().in_flight() + callers_->in_flight();
        },
        kLeaveNotice},
-      {"close the callers' listener", [this] { callers_->StopAccepting(); },
+      {"close listener for callers", [this] { callers_->StopAccepting(); },
        [this] { return callers_->in_flight(); }, kCloseNotice},
-      {"finish peers' sub-queries",
+      {"finish sub-queries of peers",
        [this] { traffic_->sub_query_server().StopAccepting(); },
        [this] { return traffic_->sub_query_server().in_flight(); }},
       {"settle claims",
@@ -234,7 +234,7 @@
              [are_claims_settled] { *are_claims_settled = true; });
        },
        [are_claims_settled] { return *are_claims_settled ? 0 : 1; }},
-      {"write counts",
+      {"write error budget counts",
        [this, are_counts_written] {
          controllers_->burn().Stop(
              [are_counts_written] { *are_counts_written = true; });
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,5 +1,6 @@
-// One daemon: builds the control and traffic sides, opens the listeners, runs
-// until it is told to stop, and stops gracefully.
+// The daemon of the queries interface (JSON): creates the control plane and the
+// query path, opens the listeners, runs until it is asked to stop, and then
+// shuts down gracefully.
 
 #ifndef MEDLARSPREAD_DAEMON_DAEMON_H_
 #define MEDLARSPREAD_DAEMON_DAEMON_H_
@@ -32,22 +33,25 @@
 
 class Daemon {
  public:
-  // `announce` gets one JSON line with the daemon's addresses once it listens.
+  // Once the listeners are open, one JSON line with their addresses is written
+  // to `announce`.
   Daemon(settings::DaemonSettings settings,
          base::Log log,
          std::ostream& announce);
 
-  // Opens everything. Errors: kInvalidArgument or kUnavailable at kListen.
+  // Creates all parts and opens the listeners. Errors: kInvalidArgument or
+  // kUnavailable at kListen.
   base::Status Start();
-  // Runs until `should_stop`, then stops gracefully; ends at once when
-  // `should_end_now`. Returns whether nothing in flight was cut off.
+  // Blocks until `should_stop` is set or a newer process has replaced this one,
+  // then shuts down gracefully; `should_end_now` ends the shutdown at once.
+  // Returns whether all work in flight was completed.
   bool RunUntil(const std::atomic<bool>& should_stop,
                 const std::atomic<bool>& should_end_now);
 
  private:
   base::Status OpenListeners();
   void Announce();
-  // Writes the lifecycle to the blackboard and starts itself again.
+  // Updates the lifecycle state on the blackboard and schedules the next check.
   void CheckReadiness();
   std::vector<StopStep> MakeStopSteps();
 
@@ -59,7 +63,8 @@
   const std::int64_t incarnation_;
   blackboard::Blackboard blackboard_;
   ControlThread control_;
-  // Null until the receivers exist; messages before that are dropped.
+  // Null until the message handlers exist; messages that arrive before that are
+  // dropped.
   std::atomic<MessageRouter*> router_slot_ = nullptr;
   std::atomic<bool> is_stopping_ = false;
   std::unique_ptr<peer::PeerNetwork> network_;
--- a/src/daemon/graceful_stop.cc
+++ b/src/daemon/graceful_stop.cc
@@ -1,4 +1,4 @@
-// Waits step by step, within the bound.
+// Polls each step until it is complete or the shutdown's time is up.
 
 #include "src/daemon/graceful_stop.h"
 
@@ -25,8 +25,9 @@
   bool is_whole = true;
   for (const StopStep& step : steps) {
     step.start();
-    // After an early end the later steps are still started, but not waited
-    // for: what they would write is worth an attempt. Each says what it cuts.
+    // After an early end the remaining steps are started but not waited for,
+    // because they may still write some of their state. Each logs the
+    // operations that it cut off.
     const bool should_wait = is_whole;
     is_whole =
         RunStep(step, should_wait ? end : clock_.Now(), should_end_now) &&
@@ -52,7 +53,7 @@
   }
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kStop,
-              .message = "stop step '" + step.name + "' is done"});
+              .message = "stop step '" + step.name + "' completed"});
   return true;
 }
 
--- a/src/daemon/graceful_stop.h
+++ b/src/daemon/graceful_stop.h
@@ -1,13 +1,16 @@
-// The planned end of a daemon: it finishes what is in flight and starts nothing
-// new. Steps, each waiting for the one before:
-//   1. Report not ready, so that the platform's balancer turns elsewhere, and
-//      tell the peers, so that the queues of this daemon move to others.
-//   2. Refuse new requests of callers as not run; finish those in flight; then
-//      accept no more connections.
-//   3. Once the peers have had time to hear, refuse their new sub-queries as
-//      not run; finish those in flight.
-//   4. Write what must last (claims, counts), then close the links.
-// A bound, or a second signal, ends it early and says what was cut.
+// Graceful shutdown of a daemon: completes the requests in flight and accepts
+// no new ones. The steps run in order, each after the one before is complete:
+//   1. Report not ready, so that the platform's load balancer sends callers
+//      elsewhere, and notify the peers, so that other daemons take over the
+//      queues of this one.
+//   2. Reject new requests of callers as not executed and finish those in
+//      flight; then stop accepting connections.
+//   3. Once the peers have had time to learn of the shutdown, reject their new
+//      sub-queries as not executed and finish those in flight.
+//   4. Write the state that must be kept (claims, error budget counts), then
+//      close the peer links.
+// A timeout or a second signal ends the shutdown early; the log then says how
+// much work was cut off.
 
 #ifndef MEDLARSPREAD_DAEMON_GRACEFUL_STOP_H_
 #define MEDLARSPREAD_DAEMON_GRACEFUL_STOP_H_
@@ -22,13 +25,12 @@
 
 namespace medlarspread::daemon {
 
-// One step: what it starts, and how much is still to be waited for.
 struct StopStep {
   std::string name;
   std::function<void()> start;
-  // Things in flight that the step waits for; the step is over at 0.
+  // The number of operations still in flight; the step is complete at 0.
   std::function<int()> left;
-  // The step lasts at least this long.
+  // The step lasts at least this long, even if nothing is in flight.
   base::Duration at_least{};
 };
 
@@ -36,8 +38,8 @@
  public:
   GracefulStop(base::Clock clock, base::Log log, base::Duration bound);
 
-  // Runs the steps in order on the calling thread. Returns false if it was
-  // ended early; the log then says which step had how much left.
+  // Runs the steps in order; blocks the calling thread. Returns false if the
+  // shutdown ended early; the log then has the operations in flight per step.
   bool Run(const std::vector<StopStep>& steps,
            const std::atomic<bool>& should_end_now);
 
--- a/src/daemon/message_router.cc
+++ b/src/daemon/message_router.cc
@@ -1,4 +1,4 @@
-// One visitor over the kinds of messages.
+// Visits the variant of all message types.
 
 #include "src/daemon/message_router.h"
 
--- a/src/daemon/message_router.h
+++ b/src/daemon/message_router.h
@@ -1,4 +1,4 @@
-// Hands each message from a peer to the part of the daemon that it is for.
+// Dispatches each message from a peer to the component that handles its type.
 
 #ifndef MEDLARSPREAD_DAEMON_MESSAGE_ROUTER_H_
 #define MEDLARSPREAD_DAEMON_MESSAGE_ROUTER_H_
@@ -12,7 +12,7 @@
 
 namespace medlarspread::daemon {
 
-// The receivers must outlive the router. Safe to use from any thread.
+// The components must outlive the router. Safe to use from any thread.
 class MessageRouter {
  public:
   MessageRouter(membership::MembershipController& membership,
--- a/src/daemon/metered_store.cc
+++ b/src/daemon/metered_store.cc
@@ -1,4 +1,4 @@
-// Wraps each call of the store.
+// Wraps the callback of each store operation.
 
 #include "src/daemon/metered_store.h"
 
@@ -18,7 +18,8 @@
          result.error().code != base::ErrorCode::kNotFound;
 }
 
-// Counts a call now and its outcome when it comes.
+// Wraps a callback: counts the call at once, and a failure and the latency when
+// the callback runs.
 class CallMeter {
  public:
   CallMeter(metrics::Registry& registry, base::Clock clock)
--- a/src/daemon/metered_store.h
+++ b/src/daemon/metered_store.h
@@ -1,5 +1,5 @@
-// Counts the calls to the platform's key-value service, which is paid for by
-// the call and bounded in rate.
+// Metrics for calls to the platform's key-value service, which bills per call
+// and limits the rate of calls.
 
 #ifndef MEDLARSPREAD_DAEMON_METERED_STORE_H_
 #define MEDLARSPREAD_DAEMON_METERED_STORE_H_
@@ -10,9 +10,10 @@
 
 namespace medlarspread::daemon {
 
-// Passes every call on to `store` and counts it in `registry`, which must
-// outlive the last callback. A refused swap is a usable answer, no failure.
-// Watches count as calls; their time is waiting and is left out of the latency.
+// Wraps `store` so that every call is counted in `registry`, which must outlive
+// the last callback. A compare-and-swap conflict and a missing key are normal
+// results, not failures. Watches are counted as calls but left out of the
+// latency distribution, since they spend their time waiting for a change.
 store::Store MeterStore(store::Store store,
                         metrics::Registry& registry,
                         const base::Clock& clock);
--- a/src/daemon/metering.cc
+++ b/src/daemon/metering.cc
@@ -1,4 +1,4 @@
-// Translation of events into counters and distributions.
+// Maps traffic events to counters and distributions.
 
 #include "src/daemon/metering.h"
 
--- a/src/daemon/metering.h
+++ b/src/daemon/metering.h
@@ -1,5 +1,5 @@
-// Feeds the metrics from what passes through the daemon anyway: answers to
-// callers, replies of leaves, bytes on the links.
+// Updates the metrics from the daemon's traffic: answers to callers, replies
+// from leaves and bytes on the peer links.
 
 #ifndef MEDLARSPREAD_DAEMON_METERING_H_
 #define MEDLARSPREAD_DAEMON_METERING_H_
@@ -27,17 +27,17 @@
   void DidHearLeaf(const upstream::LeafReply& reply);
   void DidLosePeer();
 
-  // The metrics page, with the values of the moment filled in.
+  // Updates the gauges and the totals, then renders the metrics page.
   std::string Render(const Traffic& traffic,
                      const peer::PeerNetwork& network,
                      const blackboard::Blackboard& blackboard,
                      std::uint64_t invalid_requests);
 
-  // For parts that count by themselves.
+  // For components that update metrics themselves.
   metrics::Registry& registry() { return registry_; }
 
  private:
-  // Counts what `total` has grown by since the last time.
+  // Adds the increase of `total` since the last call to the counter.
   void CountGrowth(metrics::Counter counter,
                    std::uint64_t total,
                    std::uint64_t& last);
--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -1,4 +1,4 @@
-// The order in which the parts are made, and the steps of a stop.
+// Startup order of the daemon's parts and the steps of a graceful shutdown.
 
 #include "src/daemon/opaque_daemon.h"
 
@@ -21,28 +21,32 @@
 using blackboard::LifecycleState;
 
 constexpr int kHttpVersion = 11;
-// The balancer asks each second and needs two refusals.
+// The load balancer checks readiness every second and moves callers elsewhere
+// after two failed checks.
 constexpr base::Duration kBalancerNotice = base::Milliseconds(2'800);
-// What is left of the bound for the process to end by itself.
+// The part of the shutdown timeout that is reserved for the exit of the
+// process.
 constexpr base::Duration kEndMargin = base::Milliseconds(500);
 constexpr base::Duration kEndPoll = base::Milliseconds(20);
-// Settings files may change without a signal; reading a file's time of change
-// costs one system call.
+// How often the settings file is checked: it may change without a signal, and
+// reading its modification time costs one system call.
 constexpr base::Duration kSettingsInterval = base::Milliseconds(3'000);
 constexpr base::Duration kPruneInterval = base::Milliseconds(1'000);
-// Of the connections of a leaf: the rest is for daemons that have just joined.
+// Share of a leaf's connections that the known daemons divide among themselves;
+// the rest is for daemons that have just joined.
 constexpr double kPlannedConnections = 0.9;
-// Connections to one peer, each with one request at a time. An entry hands
-// over a few requests a second, each of which takes a tenth of one; probes have
-// a connection of their own.
+// Connections to one peer, each with one request at a time. A daemon delegates
+// a few requests a second to a peer, each of which takes a tenth of a second;
+// probes use a separate connection.
 constexpr int kPeerConnections = 16;
-// A peer hands over the headers and the body of a caller, which it has checked.
+// A peer forwards the headers and the body of a caller's request, whose size it
+// has already checked.
 constexpr std::size_t kPeerHeaderBytes = 256 << 10;
 constexpr std::size_t kPeerBodyBytes = 64 << 20;
 // How long the host of a leaf whose connection was lost may take to accept or
-// refuse another: some ways to the farthest region and back.
+// refuse a new one: several round trips to the farthest region.
 constexpr base::Duration kPortCheckTimeout = base::Milliseconds(400);
-// Entries that have no requests for a while keep their connections.
+// Long enough for peers without requests for a while to keep connections open.
 constexpr base::Duration kPeerIdleTimeout = base::Milliseconds(60'000);
 
 http1::MessageLimits ToLimits(const blackboard::CallerLimits& limits) {
@@ -219,8 +223,8 @@
               .step = base::Step::kListen,
               .peer = settings_.callers.address,
               .message = "started"});
-  // NOTE: only now, since the ready line goes to the stream of the log, which
-  // the control thread would write to at the same time.
+  // NOTE: started only after Announce(), which writes to the log's stream: the
+  // control thread would write to it at the same time.
   control_.runner().Post([this] { controllers_.Start(); });
   return base::Done{};
 }
@@ -262,7 +266,7 @@
     auto incoming = platform::DecodeRequest(std::move(request));
     if (!incoming.is_ok()) {
       metrics_.Count(metrics::Counter::kRequestsInvalid);
-      log_.DidFail(incoming.error(), "refused an invalid request");
+      log_.DidFail(incoming.error(), "rejected an invalid request");
       respond(platform::EncodeInvalid(incoming.error()));
       return [] {};
     }
@@ -294,9 +298,10 @@
           respond(platform::EncodePartAnswer(std::move(answer)));
         });
   };
-  // NOTE: in the first turn the connection reads on, in the second it has heard
-  // whether the part is still needed: who waited for a daemon that stood still
-  // has closed it long ago, and no leaf must work for it.
+  // NOTE: submits after two rounds of the event loop. The first lets the
+  // connection continue to read; by the second it has noticed whether the peer
+  // closed it. If this daemon was frozen, the peer has given up on the request
+  // long ago, and no leaf must work on it.
   boost::asio::post(traffic_context_, [this, submit] {
     boost::asio::post(traffic_context_, submit);
   });
@@ -327,7 +332,7 @@
                            http1::Respond respond) -> http1::Abandon {
     auto decoded = platform::DecodeFromPeer(std::move(request));
     if (!decoded.is_ok()) {
-      log_.DidFail(decoded.error(), "refused an invalid request of a peer");
+      log_.DidFail(decoded.error(), "rejected an invalid request from a peer");
       respond(platform::EncodeInvalid(decoded.error()));
       return [] {};
     }
@@ -338,8 +343,7 @@
           queries_.CheckPart(probe.request_id, probe.most_missing)));
       return [] {};
     }
-    // A daemon that stood still reads what it was handed long after it was
-    // sent.
+    // A daemon that was frozen reads a request long after it was sent.
     TakeOffWait(*incoming);
     return SubmitPart(std::move(*incoming), std::move(respond));
   };
@@ -458,14 +462,16 @@
 void OpaqueDaemon::Reload(const char* why) {
   auto loaded = settings::LoadSettings(settings_.file);
   if (!loaded.is_ok()) {
-    log_.DidFail(loaded.error(), "the settings stay as they were");
+    log_.DidFail(
+        loaded.error(),
+        "reloading the settings failed; keeping the previous settings");
     return;
   }
   settings_ = std::move(loaded.value());
   log_.set_level(settings_.log.level);
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kSettings,
-              .message = std::string("settings were read again: ") + why});
+              .message = std::string("reloaded the settings: ") + why});
 }
 
 void OpaqueDaemon::WatchSettingsFile() {
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -1,7 +1,10 @@
-// The daemon of the opaque interface, put together and taken down.
+// The daemon of the opaque interface, which forwards requests and answers
+// without parsing their bodies: creates all parts, runs them and shuts them
+// down.
 //
-// One thread serves all traffic, since an entry VM has a fraction of one core;
-// the control thread follows the store. They meet at the blackboard.
+// One thread serves all traffic, since an entry VM has only a fraction of a
+// core. The control thread follows the changes in the store and publishes them
+// to the traffic thread through the blackboard.
 
 #ifndef MEDLARSPREAD_DAEMON_OPAQUE_DAEMON_H_
 #define MEDLARSPREAD_DAEMON_OPAQUE_DAEMON_H_
@@ -36,25 +39,29 @@
 
 class OpaqueDaemon {
  public:
-  // `announce` gets one line with the addresses once they are open.
+  // Once the listeners are open, one JSON line with their addresses is written
+  // to `announce`.
   OpaqueDaemon(settings::DaemonSettings settings,
                base::Log log,
                std::ostream& announce);
 
   // Opens the listeners and starts the controllers.
   base::Status Start();
-  // Serves until a signal asks for the end and the requests in work are done.
+  // Blocks until SIGTERM or SIGINT has arrived and the requests in flight are
+  // done, or the shutdown timeout is near.
   void Run();
 
  private:
   void Announce();
   std::shared_ptr<http1::CallerListener> MakeCallers();
-  // For requests that other daemons hand over.
+  // The listener for partial requests and probes from other daemons.
   std::shared_ptr<http1::CallerListener> MakePeers();
-  // Starts on a part that another daemon handed over, if it is still needed.
+  // Executes a part of a request that another daemon delegated to this one,
+  // unless that daemon has already closed the connection.
   http1::Abandon SubmitPart(query::IncomingRequest request,
                             http1::Respond respond);
-  // Takes what the request has waited for this thread off its time.
+  // Subtracts the time that the request waited for this thread from the time
+  // left until its deadline.
   void TakeOffWait(query::IncomingRequest& request);
   std::shared_ptr<http1::CallerListener> MakePage(
       const std::string& address,
@@ -64,7 +71,7 @@
   double ConnectionShare(const blackboard::Upstream& upstream) const;
   query::ForwardService::Ports MakeQueryPorts();
   void Record(const burn::RequestRecord& record);
-  // A send to a leaf beyond the first of its shard.
+  // Counts a send to a leaf other than the first for its shard.
   void CountRepeat(const query::ShardAttempt& attempt);
   void CountEnd(upstream::LeafOutcome outcome);
   void PruneConnections();
@@ -72,18 +79,19 @@
   std::shared_ptr<quarantine::Quarantine> MakeQuarantine();
 
   void WaitForSignal();
-  // Reads the settings file again, on a signal or because it has changed. What
-  // holds from then on: the level of the log, the limits of requests and extra
-  // sends, the bound of a stop. Addresses hold until the next start. A file
-  // with a problem is left out.
+  // Reloads the settings file after SIGHUP or a change of the file. The log
+  // level, the limits for requests and extra sends, and the shutdown timeout
+  // take effect at once; addresses only at the next start. An invalid file is
+  // ignored.
   void Reload(const char* why);
   void WatchSettingsFile();
 
-  // The steps of a stop:
-  //   1. not ready; each answer closes its connection;
-  //   2. when the balancer has moved the callers elsewhere: accept no more and
-  //      close the connections without a request;
-  //   3. end when no request is left, or when the bound is near.
+  // The steps of a graceful shutdown:
+  //   1. Report not ready; each answer now closes its connection.
+  //   2. Once the load balancer has had time to move the callers elsewhere,
+  //   stop
+  //      accepting connections and close those that have no request.
+  //   3. End when no request is left, or shortly before the shutdown timeout.
   void DidAskToStop();
   void CloseCallers();
   void EndWhenDone();
@@ -98,7 +106,8 @@
   ControlThread control_;
   boost::asio::io_context traffic_context_{1};
   const base::TaskRunner traffic_{traffic_context_};
-  // NOTE: not through `traffic_`, whose tasks overtake what the loop reads.
+  // NOTE: posts to the io_context directly, because tasks posted through
+  // `traffic_` run before socket reads that are already pending.
   base::LoopLag traffic_lag_{clock_, [this](std::function<void()> task) {
                                boost::asio::post(traffic_context_,
                                                  std::move(task));
@@ -111,16 +120,17 @@
   const std::shared_ptr<routing::LeafTracker> tracker_;
   const std::shared_ptr<quarantine::Quarantine> quarantine_;
   query::ForwardService queries_;
-  // Datagrams between daemons; closed if this one has no address for them.
+  // Datagrams between daemons; stays closed if this daemon has no
+  // query_address.
   const std::shared_ptr<gossip::DatagramSocket> datagrams_;
   const std::shared_ptr<gossip::ReportExchange> reports_;
   std::shared_ptr<http1::CallerListener> callers_;
-  // Null if this daemon takes no requests from others.
+  // Null if this daemon accepts no requests from other daemons.
   std::shared_ptr<http1::CallerListener> peer_listener_;
   std::shared_ptr<http1::CallerListener> readiness_;
   std::shared_ptr<http1::CallerListener> metrics_page_;
   base::MonotonicTime stop_began_;
-  // When the settings file was last written, as it was last read.
+  // The modification time of the settings file at the last check.
   std::filesystem::file_time_type settings_written_;
 };
 
--- a/src/daemon/operator_pages.cc
+++ b/src/daemon/operator_pages.cc
@@ -1,4 +1,4 @@
-// Rendering of the operators' pages.
+// Renders the pages for operators.
 
 #include "src/daemon/operator_pages.h"
 
--- a/src/daemon/operator_pages.h
+++ b/src/daemon/operator_pages.h
@@ -1,5 +1,5 @@
-// What this daemon shows to operators beside the targets: its queues, the burn
-// report and the metrics.
+// Pages for operators: the queues, the report on burnt error budget and the
+// metrics. The pages about targets are in admin_api.
 
 #ifndef MEDLARSPREAD_DAEMON_OPERATOR_PAGES_H_
 #define MEDLARSPREAD_DAEMON_OPERATOR_PAGES_H_
@@ -16,7 +16,7 @@
 
 namespace medlarspread::daemon {
 
-// Safe to use from any thread. The parts must outlive it.
+// Safe to use from any thread. The constructor's arguments must outlive it.
 class OperatorPages {
  public:
   OperatorPages(Controllers& controllers,
@@ -29,8 +29,8 @@
   admin_api::AdminPorts ports();
 
  private:
-  // {"sessions", "sub_queries", "collections": [{"collection", "queued",
-  // "running"}]}.
+  // Returns JSON: {"sessions", "sub_queries", "collections": [{"collection",
+  // "queued", "running"}]}.
   std::string DescribeQueues() const;
   void ReportBurn(const std::string& format, http::Responder respond);
 
--- a/src/daemon/serve.cc
+++ b/src/daemon/serve.cc
@@ -1,4 +1,4 @@
-// Signals, the log and the daemon's whole life.
+// Installs the signal handlers, opens the log, and runs the daemon.
 
 #include "src/daemon/serve.h"
 
@@ -34,7 +34,8 @@
   action.sa_handler = DidReceiveStopSignal;
   sigaction(SIGTERM, &action, nullptr);
   sigaction(SIGINT, &action, nullptr);
-  // A peer that is gone must be an error of the write, not the end of us.
+  // Writing to a closed connection must fail with EPIPE instead of ending the
+  // process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
@@ -82,7 +83,8 @@
     std::_Exit(EXIT_FAILURE);
   }
   const bool is_whole = daemon->RunUntil(should_stop, should_end_now);
-  // Skips destructors of globals, which would race with those threads.
+  // Skips the destructors of globals, which would race with the HTTP library's
+  // threads.
   std::cout.flush();
   std::_Exit(is_whole ? EXIT_SUCCESS : EXIT_FAILURE);
 }
--- a/src/daemon/serve.h
+++ b/src/daemon/serve.h
@@ -1,4 +1,4 @@
-// Runs one daemon as the process's main job, from settings to exit status.
+// Runs a daemon for the lifetime of the process.
 
 #ifndef MEDLARSPREAD_DAEMON_SERVE_H_
 #define MEDLARSPREAD_DAEMON_SERVE_H_
@@ -7,8 +7,9 @@
 
 namespace medlarspread::daemon {
 
-// Runs until SIGTERM or SIGINT, then stops gracefully; a second signal ends it
-// at once. Returns the process's exit status: 0 if nothing was cut off.
+// Runs until SIGTERM or SIGINT, then shuts down gracefully and exits the
+// process, with status 0 if no request was cut off. With the queries interface
+// a second signal ends the shutdown at once.
 int Serve(const settings::DaemonSettings& settings);
 
 }  // namespace medlarspread::daemon
--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -1,4 +1,4 @@
-// Hands each change in the store to the controller that it concerns.
+// Dispatches each change in the store to a controller by the key's prefix.
 
 #include "src/daemon/store_controllers.h"
 
@@ -17,10 +17,10 @@
 
 using blackboard::LifecycleState;
 
-// For a key that stays when this daemon is gone.
+// The lease of keys that must outlive this daemon.
 constexpr std::int64_t kNoLease = 0;
 
-// "domain=region" with commas between; checked when the settings were read.
+// Parses "domain=region,...", which was validated with the settings.
 std::map<std::string, std::string> ParseRegions(std::string text) {
   std::erase(text, ' ');
   std::map<std::string, std::string> regions;
@@ -44,8 +44,9 @@
   return self;
 }
 
-// A daemon that knew nobody at its start reads again when the stronger ones
-// have registered, and well before it would register itself.
+// How long a daemon that found no other daemon at its start waits before it
+// reads the store again: VMs with a larger share of a processor have registered
+// by then, and it is well before this daemon would register itself.
 base::Duration FirstWait(const settings::VmSettings& vm) {
   constexpr int kPercent = 70;
   return membership::RegistrationWait({}, vm.processor_share) * kPercent / 100;
@@ -203,7 +204,7 @@
   known_.DidReach(position);
   blackboard_.store.Write(known_.position());
   if (is_restored) {
-    // Those that follow this daemon learn of the era even if nothing changed.
+    // Tells the followers of the new era even if no key has changed.
     news_server_->DidAppend();
   }
 }
@@ -236,8 +237,8 @@
   if (!event.value) {
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kTargets,
-                .message = "the configuration was removed; the last one stays "
-                           "in force"});
+                .message = "the configuration was removed from the store; "
+                           "keeping the last one"});
     return;
   }
   const auto freshness = news_->freshness();
--- a/src/daemon/store_controllers.h
+++ b/src/daemon/store_controllers.h
@@ -1,5 +1,6 @@
-// The controllers of the opaque interface: everything that is learnt from the
-// store, on the control thread.
+// The controllers of the opaque interface. They follow the changes in the
+// store, directly or through peers, and publish them on the blackboard. They
+// run on the control thread.
 
 #ifndef MEDLARSPREAD_DAEMON_STORE_CONTROLLERS_H_
 #define MEDLARSPREAD_DAEMON_STORE_CONTROLLERS_H_
@@ -39,34 +40,37 @@
                    blackboard::Blackboard& blackboard,
                    base::Log log);
 
-  // Opens the listener for peers; before Start().
+  // Opens the listener for peers. Call before Start().
   base::Status Open() { return peers_->Open(); }
   // Called on the control thread.
   void Start();
   void Stop();
-  // The store named its era in an answer to any call.
+  // Called with the era (see store::Position) that any answer of the store
+  // names.
   void DidSeeEra(std::int64_t era) { news_->DidSeeEra(era); }
   quarantine::VerdictController& verdicts() { return *verdicts_; }
 
  private:
-  // What this daemon wrote may be lost.
+  // The store was restored from an older copy, so what this daemon wrote to it
+  // may be lost.
   void DidRestoreStore();
   void DidChange(const std::vector<store::Event>& events);
   void DidReach(const store::Position& position);
   void DidChangeLeaf(const std::string& id, const store::Event& event);
   void DidChangeConfiguration(const store::Event& event);
-  // Makes the daemon ready once it knows routes and has read the whole store.
+  // Makes the daemon ready once it has routes. Called after each batch of
+  // changes, so only after the daemon has read the whole store.
   void CheckReadiness();
 
   const base::Clock clock_;
   blackboard::Blackboard& blackboard_;
   const base::Log log_;
-  // By failure domain.
+  // Regions by failure domain.
   const std::map<std::string, std::string> regions_;
   upstream::LeafDirectory leaves_;
   targets::RouteController routes_;
   const std::shared_ptr<quarantine::VerdictController> verdicts_;
-  // What this daemon knows, for its peers.
+  // The changes that this daemon has seen, for the peers that follow it.
   store::EventLog known_;
   const std::shared_ptr<relay::NewsSource> news_;
   const std::shared_ptr<relay::NewsServer> news_server_;
--- a/src/daemon/traffic.cc
+++ b/src/daemon/traffic.cc
@@ -1,4 +1,4 @@
-// Construction of the query path.
+// Creates and connects the parts of the query path.
 
 #include "src/daemon/traffic.h"
 
@@ -8,8 +8,9 @@
 
 namespace {
 
-// Sub-query identifiers of two incarnations must not meet: each counts from a
-// random number below this, and no incarnation counts that far.
+// Sub-query identifiers of two incarnations must not collide: each incarnation
+// counts up from a random number below this bound, and the space is too large
+// for their ranges to overlap.
 constexpr std::uint64_t kFirstIdBound = std::uint64_t{1} << 62;
 
 }  // namespace
--- a/src/daemon/traffic.h
+++ b/src/daemon/traffic.h
@@ -1,4 +1,4 @@
-// The part of a daemon that serves queries: sessions at the entry, queues for
+// The query path of a daemon: sessions for the requests of callers, queues for
 // the shards that this daemon owns, and the claims of non-idempotent requests.
 // Runs on the traffic threads and reads the blackboard.
 
@@ -36,17 +36,17 @@
 };
 
 struct TrafficOptions {
-  // Makes attempt identifiers unique over daemons and incarnations.
+  // Makes attempt identifiers unique across daemons and incarnations.
   std::string attempt_prefix;
   routing::Policy policy;
-  // Second sends as a share of first sends, at most.
+  // Limit on second sends, as a share of first sends.
   double second_send_share = 0.0;
   int most_in_flight = 0;
 };
 
 class Traffic {
  public:
-  // `blackboard` must outlive all work that was started.
+  // `blackboard` must outlive all requests.
   Traffic(TrafficOptions options,
           base::Clock clock,
           std::shared_ptr<base::Random> random,
@@ -63,7 +63,8 @@
  private:
   std::shared_ptr<routing::Dispatcher> MakeDispatcher(
       const std::string& collection);
-  // Asks the owner in another region for a shard that is late here.
+  // Sends a request for a shard that is late in this region to the shard's
+  // owner in another region. Returns whether there is one.
   bool ForwardSecondSend(const routing::ShardRequest& request,
                          const routing::ShardCallback& done);
 
--- a/tests/daemon/graceful_stop_test.cc
+++ b/tests/daemon/graceful_stop_test.cc
@@ -1,5 +1,5 @@
-// Steps run in order, wait for what is in flight, and say what an early end
-// cuts off.
+// The shutdown steps run in order and wait for the operations in flight; after
+// an early end, the log says how many were cut off.
 
 #include "src/daemon/graceful_stop.h"
 
--- a/tests/daemon/metered_store_test.cc
+++ b/tests/daemon/metered_store_test.cc
@@ -1,4 +1,4 @@
-// Every call of the store is counted once and passed on unchanged.
+// Every store call is counted once and forwarded unchanged.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
