--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -38,8 +38,8 @@
 }
 
 // Why the daemon is not ready yet; empty if it is.
-std::string FindObstacle(const blackboard::Blackboard& blackboard,
-                         const targets::TargetsController& targets) {
+std::string FindReadinessBlocker(const blackboard::Blackboard& blackboard,
+                                 const targets::TargetsController& targets) {
   const auto membership = blackboard.membership.Read();
   if (!membership->members.contains(membership->self)) {
     return "membership is not established yet";
@@ -176,7 +176,7 @@
   }
   const auto before = blackboard_.lifecycle.Read();
   const std::string obstacle =
-      FindObstacle(blackboard_, controllers_->targets());
+      FindReadinessBlocker(blackboard_, controllers_->targets());
   // NOTE: a ready daemon stays ready. When the platform or its peers are
   // unavailable, it continues with its last known state.
   if (before->state == LifecycleState::kStarting) {
