--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -175,14 +175,14 @@
     return;
   }
   const auto before = blackboard_.lifecycle.Read();
-  const std::string obstacle =
+  const std::string blocker =
       FindReadinessBlocker(blackboard_, controllers_->targets());
   // NOTE: a ready daemon stays ready. When the platform or its peers are
   // unavailable, it continues with its last known state.
   if (before->state == LifecycleState::kStarting) {
     const auto state =
-        obstacle.empty() ? LifecycleState::kReady : LifecycleState::kStarting;
-    blackboard_.lifecycle.Write({state, obstacle});
+        blocker.empty() ? LifecycleState::kReady : LifecycleState::kStarting;
+    blackboard_.lifecycle.Write({state, blocker});
     if (state == LifecycleState::kReady) {
       log_.Write({.level = base::LogLevel::kInfo,
                   .step = base::Step::kAdmit,
