--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -20,7 +20,7 @@
 constexpr auto kStopPoll = std::chrono::milliseconds(20);
 // Time for peers to learn that this daemon is leaving, before it rejects their
 // sub-queries.
-constexpr Duration kLeaveNotice = base::Milliseconds(500);
+constexpr Duration kLeavePropagationDelay = base::Milliseconds(500);
 // After the listener stops accepting connections, requests on connections that
 // are already open are still expected for this long.
 constexpr Duration kCloseNotice = base::Milliseconds(200);
@@ -222,7 +222,7 @@
        [this] {
          return traffic_->queries().in_flight() + callers_->in_flight();
        },
-       kLeaveNotice},
+       kLeavePropagationDelay},
       {"close listener for callers", [this] { callers_->StopAccepting(); },
        [this] { return callers_->in_flight(); }, kCloseNotice},
       {"finish sub-queries of peers",
