--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -23,7 +23,7 @@
 constexpr Duration kLeavePropagationDelay = base::Milliseconds(500);
 // After the listener stops accepting connections, requests on connections that
 // are already open are still expected for this long.
-constexpr Duration kCloseNotice = base::Milliseconds(200);
+constexpr Duration kOpenConnectionGrace = base::Milliseconds(200);
 
 routing::Policy MakePolicy(const settings::RoutingSettings& settings) {
   switch (settings.policy) {
@@ -224,7 +224,7 @@
        },
        kLeavePropagationDelay},
       {"close listener for callers", [this] { callers_->StopAccepting(); },
-       [this] { return callers_->in_flight(); }, kCloseNotice},
+       [this] { return callers_->in_flight(); }, kOpenConnectionGrace},
       {"finish sub-queries of peers",
        [this] { traffic_->sub_query_server().StopAccepting(); },
        [this] { return traffic_->sub_query_server().in_flight(); }},
