--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -17,7 +17,7 @@
 
 constexpr Duration kReadinessInterval = base::Milliseconds(50);
 constexpr double kPercent = 100.0;
-constexpr auto kStopPoll = std::chrono::milliseconds(20);
+constexpr auto kStopPollInterval = std::chrono::milliseconds(20);
 // Time for peers to learn that this daemon is leaving, before it rejects their
 // sub-queries.
 constexpr Duration kLeavePropagationDelay = base::Milliseconds(500);
@@ -195,7 +195,7 @@
 bool Daemon::RunUntil(const std::atomic<bool>& should_stop,
                       const std::atomic<bool>& should_end_now) {
   while (!should_stop && !controllers_->is_replaced()) {
-    std::this_thread::sleep_for(kStopPoll);
+    std::this_thread::sleep_for(kStopPollInterval);
   }
   GracefulStop stop(clock_, log_, settings_.stop.bound);
   const bool is_whole = stop.Run(MakeStopSteps(), should_end_now);
