--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -75,13 +75,13 @@
   network_ = std::make_unique<peer::PeerNetwork>(
       network, http::TrafficContext(), blackboard_,
       [this](const peer::Sender& sender, const peer::Message& message) {
-        if (auto* router = router_slot_.load()) {
+        if (auto* router = active_router_.load()) {
           router->DidReceive(sender, message);
         }
       },
       [this](const std::string& peer) {
         metering_.DidLosePeer();
-        if (auto* router = router_slot_.load()) {
+        if (auto* router = active_router_.load()) {
           router->DidLosePeer(peer);
         }
       },
@@ -121,7 +121,7 @@
       controllers_->membership(), controllers_->targets(),
       controllers_->claims(), traffic_->sub_query_client(),
       traffic_->sub_query_server());
-  router_slot_ = router_.get();
+  active_router_ = router_.get();
   controllers_->Start();
   control_.runner().Post([this] { CheckReadiness(); });
   if (auto opened = OpenListeners(); !opened.is_ok()) {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -65,7 +65,7 @@
   ControlThread control_;
   // Null until the message handlers exist; messages that arrive before that are
   // dropped.
-  std::atomic<MessageRouter*> router_slot_ = nullptr;
+  std::atomic<MessageRouter*> active_router_ = nullptr;
   std::atomic<bool> is_stopping_ = false;
   std::unique_ptr<peer::PeerNetwork> network_;
   std::unique_ptr<Controllers> controllers_;
