--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -198,10 +198,10 @@
     std::this_thread::sleep_for(kStopPollInterval);
   }
   GracefulStop stop(clock_, log_, settings_.stop.bound);
-  const bool is_whole = stop.Run(MakeStopSteps(), should_end_now);
+  const bool is_clean = stop.Run(MakeStopSteps(), should_end_now);
   controllers_->Stop();
   network_->Close();
-  return is_whole;
+  return is_clean;
 }
 
 // The steps are explained at the top of graceful_stop.h.
--- a/src/daemon/graceful_stop.cc
+++ b/src/daemon/graceful_stop.cc
@@ -22,18 +22,18 @@
 bool GracefulStop::Run(const std::vector<StopStep>& steps,
                        const std::atomic<bool>& should_end_now) {
   const base::MonotonicTime end = clock_.Now() + bound_;
-  bool is_whole = true;
+  bool is_clean = true;
   for (const StopStep& step : steps) {
     step.start();
     // After an early end the remaining steps are started but not waited for,
     // because they may still write some of their state. Each logs the
     // operations that it cut off.
-    const bool should_wait = is_whole;
-    is_whole =
+    const bool should_wait = is_clean;
+    is_clean =
         RunStep(step, should_wait ? end : clock_.Now(), should_end_now) &&
-        is_whole;
+        is_clean;
   }
-  return is_whole;
+  return is_clean;
 }
 
 bool GracefulStop::RunStep(const StopStep& step,
--- a/src/daemon/serve.cc
+++ b/src/daemon/serve.cc
@@ -82,11 +82,11 @@
     log.DidFail(started.error(), "the daemon can't start");
     std::_Exit(EXIT_FAILURE);
   }
-  const bool is_whole = daemon->RunUntil(should_stop, should_end_now);
+  const bool is_clean = daemon->RunUntil(should_stop, should_end_now);
   // Skips the destructors of globals, which would race with the HTTP library's
   // threads.
   std::cout.flush();
-  std::_Exit(is_whole ? EXIT_SUCCESS : EXIT_FAILURE);
+  std::_Exit(is_clean ? EXIT_SUCCESS : EXIT_FAILURE);
 }
 
 }  // namespace medlarspread::daemon
--- a/tests/daemon/graceful_stop_test.cc
+++ b/tests/daemon/graceful_stop_test.cc
@@ -24,24 +24,24 @@
 TEST_F(GracefulStopTest, WaitsForEachStepBeforeTheNext) {
   std::string order;
   int left = 3;
-  const bool is_whole = Run({{"one", [&] { order += "1"; },
+  const bool is_clean = Run({{"one", [&] { order += "1"; },
                               [&] {
                                 order += "w";
                                 return --left;
                               }},
                              {"two", [&] { order += "2"; }, [] { return 0; }}},
                             base::Milliseconds(20000));
-  EXPECT_TRUE(is_whole);
+  EXPECT_TRUE(is_clean);
   EXPECT_EQ(order, "1www2");
 }
 
 TEST_F(GracefulStopTest, BoundEndsItAndEveryStepSaysWhatIsCut) {
   int started = 0;
-  const bool is_whole =
+  const bool is_clean =
       Run({{"sessions", [&] { ++started; }, [] { return 2; }},
            {"sub-queries", [&] { ++started; }, [] { return 5; }}},
           base::Milliseconds(1));
-  EXPECT_FALSE(is_whole);
+  EXPECT_FALSE(is_clean);
   EXPECT_EQ(started, 2);
   EXPECT_NE(lines_.str().find("'sessions': cut off 2"), std::string::npos)
       << lines_.str();
