--- a/src/daemon/graceful_stop.cc
+++ b/src/daemon/graceful_stop.cc
@@ -40,12 +40,12 @@
                            base::MonotonicTime end,
                            const std::atomic<bool>& should_end_now) const {
   const base::MonotonicTime earliest = clock_.Now() + step.at_least;
-  while (clock_.Now() < earliest || step.left() > 0) {
+  while (clock_.Now() < earliest || step.pending() > 0) {
     if (should_end_now || clock_.Now() >= end) {
       log_.Write({.level = base::LogLevel::kError,
                   .step = base::Step::kStop,
                   .message = "stop ended early in step '" + step.name +
-                             "': cut off " + std::to_string(step.left()) +
+                             "': cut off " + std::to_string(step.pending()) +
                              " in flight"});
       return false;
     }
--- a/src/daemon/graceful_stop.h
+++ b/src/daemon/graceful_stop.h
@@ -29,7 +29,7 @@
   std::string name;
   std::function<void()> start;
   // The number of operations still in flight; the step is complete at 0.
-  std::function<int()> left;
+  std::function<int()> pending;
   // The step lasts at least this long, even if nothing is in flight.
   base::Duration at_least{};
 };
