--- a/src/daemon/graceful_stop.cc
+++ b/src/daemon/graceful_stop.cc
@@ -39,7 +39,7 @@
 bool GracefulStop::RunStep(const StopStep& step,
                            base::MonotonicTime end,
                            const std::atomic<bool>& should_end_now) const {
-  const base::MonotonicTime earliest = clock_.Now() + step.at_least;
+  const base::MonotonicTime earliest = clock_.Now() + step.min_duration;
   while (clock_.Now() < earliest || step.pending() > 0) {
     if (should_end_now || clock_.Now() >= end) {
       log_.Write({.level = base::LogLevel::kError,
--- a/src/daemon/graceful_stop.h
+++ b/src/daemon/graceful_stop.h
@@ -31,7 +31,7 @@
   // The number of operations still in flight; the step is complete at 0.
   std::function<int()> pending;
   // The step lasts at least this long, even if nothing is in flight.
-  base::Duration at_least{};
+  base::Duration min_duration{};
 };
 
 class GracefulStop {
