--- a/src/daemon/controllers.cc
+++ b/src/daemon/controllers.cc
@@ -16,11 +16,11 @@
 // Leaves room for cancellations and health checks beside the requests that fill
 // a leaf's slots. Not a setting: the client already respects the limit that the
 // leaf advertises, and a setting could only violate it.
-constexpr int kInFlightPerLeaf = 64;
+constexpr int kMaxInFlightPerLeaf = 64;
 
 upstream::LeafClientSettings MakeLeafClientSettings() {
   upstream::LeafClientSettings settings;
-  settings.connections.max_in_flight_per_leaf = kInFlightPerLeaf;
+  settings.connections.max_in_flight_per_leaf = kMaxInFlightPerLeaf;
   return settings;
 }
 
