--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -105,7 +105,7 @@
   ports.leaves = controllers_->leaves().port();
   ports.observe = [this](const std::string& name,
                          const upstream::LeafReply& reply) {
-    metering_.DidHearLeaf(reply);
+    metering_.DidReceiveLeafReply(reply);
     controllers_->upstreams().Observe(name, reply);
   };
   ports.peers = network_->port();
--- a/src/daemon/metering.cc
+++ b/src/daemon/metering.cc
@@ -29,7 +29,7 @@
   }
 }
 
-void Metering::DidHearLeaf(const upstream::LeafReply& reply) {
+void Metering::DidReceiveLeafReply(const upstream::LeafReply& reply) {
   registry_.Count(Counter::kUpstreamSends);
   if (reply.outcome == LeafOutcome::kAnswered) {
     registry_.Count(Counter::kUpstreamAnswers);
--- a/src/daemon/metering.h
+++ b/src/daemon/metering.h
@@ -24,7 +24,7 @@
   explicit Metering(const base::Clock& clock) : registry_(clock) {}
 
   void DidAnswerCaller(const burn::RequestRecord& record);
-  void DidHearLeaf(const upstream::LeafReply& reply);
+  void DidReceiveLeafReply(const upstream::LeafReply& reply);
   void DidLosePeer();
 
   // Updates the gauges and the totals, then renders the metrics page.
