--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -23,7 +23,7 @@
 constexpr int kHttpVersion = 11;
 // The load balancer checks readiness every second and moves callers elsewhere
 // after two failed checks.
-constexpr base::Duration kBalancerNotice = base::Milliseconds(2'800);
+constexpr base::Duration kLoadBalancerDelay = base::Milliseconds(2'800);
 // The part of the shutdown timeout that is reserved for the exit of the
 // process.
 constexpr base::Duration kEndMargin = base::Milliseconds(500);
@@ -499,7 +499,7 @@
   if (peer_listener_) {
     peer_listener_->StartDraining();
   }
-  traffic_.After(kBalancerNotice, [this] { CloseCallers(); });
+  traffic_.After(kLoadBalancerDelay, [this] { CloseCallers(); });
 }
 
 void OpaqueDaemon::CloseCallers() {
