--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -26,7 +26,7 @@
 constexpr base::Duration kLoadBalancerDelay = base::Milliseconds(2'800);
 // The part of the shutdown timeout that is reserved for the exit of the
 // process.
-constexpr base::Duration kEndMargin = base::Milliseconds(500);
+constexpr base::Duration kExitMargin = base::Milliseconds(500);
 constexpr base::Duration kEndPoll = base::Milliseconds(20);
 // How often the settings file is checked: it may change without a signal, and
 // reading its modification time costs one system call.
@@ -510,7 +510,7 @@
 void OpaqueDaemon::EndWhenDone() {
   callers_->CloseIdle();
   const bool is_over =
-      clock_.Now() - stop_began_ > settings_.stop.bound - kEndMargin;
+      clock_.Now() - stop_began_ > settings_.stop.bound - kExitMargin;
   const bool is_in_work =
       callers_->connections() > 0 || queries_.in_flight() > 0;
   if (is_in_work && !is_over) {
