--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -27,7 +27,7 @@
 // The part of the shutdown timeout that is reserved for the exit of the
 // process.
 constexpr base::Duration kExitMargin = base::Milliseconds(500);
-constexpr base::Duration kEndPoll = base::Milliseconds(20);
+constexpr base::Duration kDrainPollInterval = base::Milliseconds(20);
 // How often the settings file is checked: it may change without a signal, and
 // reading its modification time costs one system call.
 constexpr base::Duration kSettingsInterval = base::Milliseconds(3'000);
@@ -514,7 +514,7 @@
   const bool is_in_work =
       callers_->connections() > 0 || queries_.in_flight() > 0;
   if (is_in_work && !is_over) {
-    traffic_.After(kEndPoll, [this] { EndWhenDone(); });
+    traffic_.After(kDrainPollInterval, [this] { EndWhenDone(); });
     return;
   }
   log_.Write({.level = base::LogLevel::kInfo,
