--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -30,7 +30,7 @@
 constexpr base::Duration kDrainPollInterval = base::Milliseconds(20);
 // How often the settings file is checked: it may change without a signal, and
 // reading its modification time costs one system call.
-constexpr base::Duration kSettingsInterval = base::Milliseconds(3'000);
+constexpr base::Duration kSettingsCheckInterval = base::Milliseconds(3'000);
 constexpr base::Duration kPruneInterval = base::Milliseconds(1'000);
 // Share of a leaf's connections that the known daemons divide among themselves;
 // the rest is for daemons that have just joined.
@@ -484,7 +484,7 @@
       Reload("the file has changed");
     }
   }
-  traffic_.After(kSettingsInterval, [this] { WatchSettingsFile(); });
+  traffic_.After(kSettingsCheckInterval, [this] { WatchSettingsFile(); });
 }
 
 void OpaqueDaemon::DidAskToStop() {
