--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -34,7 +34,7 @@
 constexpr base::Duration kPruneInterval = base::Milliseconds(1'000);
 // Share of a leaf's connections that the known daemons divide among themselves;
 // the rest is for daemons that have just joined.
-constexpr double kPlannedConnections = 0.9;
+constexpr double kPlannedConnectionShare = 0.9;
 // Connections to one peer, each with one request at a time. A daemon delegates
 // a few requests a second to a peer, each of which takes a tenth of a second;
 // probes use a separate connection.
@@ -390,7 +390,7 @@
 
 double OpaqueDaemon::ConnectionShare(
     const blackboard::Upstream& upstream) const {
-  return kPlannedConnections * upstream.connections *
+  return kPlannedConnectionShare * upstream.connections *
          queries_.PartOf(upstream.collection);
 }
 
