--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -270,7 +270,7 @@
       respond(platform::EncodeInvalid(incoming.error()));
       return [] {};
     }
-    TakeOffWait(incoming.value());
+    DeductWaitTime(incoming.value());
     return queries_.Submit(
         std::move(incoming.value()),
         [respond = std::move(respond)](query::ForwardedAnswer answer) {
@@ -311,7 +311,7 @@
   };
 }
 
-void OpaqueDaemon::TakeOffWait(query::IncomingRequest& request) {
+void OpaqueDaemon::DeductWaitTime(query::IncomingRequest& request) {
   request.waited = traffic_lag_.Estimate();
   if (request.deadline) {
     *request.deadline -= request.waited;
@@ -344,7 +344,7 @@
       return [] {};
     }
     // A daemon that was frozen reads a request long after it was sent.
-    TakeOffWait(*incoming);
+    DeductWaitTime(*incoming);
     return SubmitPart(std::move(*incoming), std::move(respond));
   };
   return std::make_shared<http1::CallerListener>(traffic_context_,
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -62,7 +62,7 @@
                             http1::Respond respond);
   // Subtracts the time that the request waited for this thread from the time
   // left until its deadline.
-  void TakeOffWait(query::IncomingRequest& request);
+  void DeductWaitTime(query::IncomingRequest& request);
   std::shared_ptr<http1::CallerListener> MakePage(
       const std::string& address,
       std::function<http1::Response()> render);
