--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -185,7 +185,7 @@
 }
 
 base::Status OpaqueDaemon::Start() {
-  callers_ = MakeCallers();
+  callers_ = MakeCallerListener();
   readiness_ = MakePage(settings_.callers.readiness_address,
                         [this] { return RenderReadiness(); });
   metrics_page_ =
@@ -255,7 +255,7 @@
   traffic_context_.run();
 }
 
-std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakeCallers() {
+std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakeCallerListener() {
   http1::CallerListener::Settings listener;
   listener.address = settings_.callers.address;
   listener.limits = [this] {
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -53,7 +53,7 @@
 
  private:
   void Announce();
-  std::shared_ptr<http1::CallerListener> MakeCallers();
+  std::shared_ptr<http1::CallerListener> MakeCallerListener();
   // The listener for partial requests and probes from other daemons.
   std::shared_ptr<http1::CallerListener> MakePeers();
   // Executes a part of a request that another daemon delegated to this one,
