--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -191,7 +191,7 @@
   metrics_page_ =
       MakePage(settings_.operators.address, [this] { return RenderMetrics(); });
   if (!settings_.peers.query_address.empty()) {
-    peer_listener_ = MakePeers();
+    peer_listener_ = MakePeerListener();
   }
   for (const auto& listener :
        {callers_, readiness_, metrics_page_, peer_listener_}) {
@@ -318,7 +318,7 @@
   }
 }
 
-std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePeers() {
+std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePeerListener() {
   http1::CallerListener::Settings listener;
   listener.address = settings_.peers.query_address;
   listener.limits = [] {
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -55,7 +55,7 @@
   void Announce();
   std::shared_ptr<http1::CallerListener> MakeCallerListener();
   // The listener for partial requests and probes from other daemons.
-  std::shared_ptr<http1::CallerListener> MakePeers();
+  std::shared_ptr<http1::CallerListener> MakePeerListener();
   // Executes a part of a request that another daemon delegated to this one,
   // unless that daemon has already closed the connection.
   http1::Abandon SubmitPart(query::IncomingRequest request,
