--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -186,10 +186,10 @@
 
 base::Status OpaqueDaemon::Start() {
   callers_ = MakeCallerListener();
-  readiness_ = MakePage(settings_.callers.readiness_address,
-                        [this] { return RenderReadiness(); });
-  metrics_page_ =
-      MakePage(settings_.operators.address, [this] { return RenderMetrics(); });
+  readiness_ = MakePageListener(settings_.callers.readiness_address,
+                                [this] { return RenderReadiness(); });
+  metrics_page_ = MakePageListener(settings_.operators.address,
+                                   [this] { return RenderMetrics(); });
   if (!settings_.peers.query_address.empty()) {
     peer_listener_ = MakePeerListener();
   }
@@ -351,7 +351,7 @@
                                                  std::move(listener), clock_);
 }
 
-std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePage(
+std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePageListener(
     const std::string& address,
     std::function<http1::Response()> render) {
   http1::CallerListener::Settings listener;
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -63,7 +63,7 @@
   // Subtracts the time that the request waited for this thread from the time
   // left until its deadline.
   void DeductWaitTime(query::IncomingRequest& request);
-  std::shared_ptr<http1::CallerListener> MakePage(
+  std::shared_ptr<http1::CallerListener> MakePageListener(
       const std::string& address,
       std::function<http1::Response()> render);
   http1::Response RenderReadiness() const;
