--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -122,9 +122,9 @@
           [this](const std::string& bytes, const std::string& peer) {
             reports_->DidReceive(bytes, peer);
           })),
-      reports_(MakeReports()) {}
+      reports_(MakeReportExchange()) {}
 
-std::shared_ptr<gossip::ReportExchange> OpaqueDaemon::MakeReports() {
+std::shared_ptr<gossip::ReportExchange> OpaqueDaemon::MakeReportExchange() {
   return std::make_shared<gossip::ReportExchange>(
       clock_, traffic_, random_, blackboard_,
       gossip::ReportPorts{
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -75,7 +75,7 @@
   void CountRepeat(const query::ShardAttempt& attempt);
   void CountEnd(upstream::LeafOutcome outcome);
   void PruneConnections();
-  std::shared_ptr<gossip::ReportExchange> MakeReports();
+  std::shared_ptr<gossip::ReportExchange> MakeReportExchange();
   std::shared_ptr<quarantine::Quarantine> MakeQuarantine();
 
   void WaitForSignal();
