--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -180,7 +180,7 @@
             metrics_.Count(metrics::Counter::kRequestsFannedOutForPeers);
           },
           [this](const query::ShardAttempt& attempt) { CountRepeat(attempt); },
-          [this](upstream::LeafOutcome outcome) { CountEnd(outcome); },
+          [this](upstream::LeafOutcome outcome) { CountLeafOutcome(outcome); },
           [this] { metrics_.Count(metrics::Counter::kRequestsQuarantined); }};
 }
 
@@ -420,7 +420,7 @@
   metrics_.Count(counter);
 }
 
-void OpaqueDaemon::CountEnd(upstream::LeafOutcome outcome) {
+void OpaqueDaemon::CountLeafOutcome(upstream::LeafOutcome outcome) {
   using metrics::Counter;
   if (outcome == upstream::LeafOutcome::kAnswered) {
     metrics_.Count(Counter::kUpstreamAnswers);
