--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -453,7 +453,7 @@
         if (signal == SIGHUP) {
           Reload("signal");
         } else if (stop_began_ == base::MonotonicTime{}) {
-          DidAskToStop();
+          StartGracefulStop();
         }
         WaitForSignal();
       });
@@ -487,7 +487,7 @@
   traffic_.After(kSettingsCheckInterval, [this] { WatchSettingsFile(); });
 }
 
-void OpaqueDaemon::DidAskToStop() {
+void OpaqueDaemon::StartGracefulStop() {
   stop_began_ = clock_.Now();
   blackboard_.lifecycle.Write({LifecycleState::kStopping, "stopping"});
   log_.Write({.level = base::LogLevel::kInfo,
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -92,7 +92,7 @@
   //   stop
   //      accepting connections and close those that have no request.
   //   3. End when no request is left, or shortly before the shutdown timeout.
-  void DidAskToStop();
+  void StartGracefulStop();
   void CloseCallers();
   void EndWhenDone();
 
