--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -504,17 +504,17 @@
 
 void OpaqueDaemon::CloseCallers() {
   callers_->StopAccepting();
-  EndWhenDone();
+  ExitWhenDrained();
 }
 
-void OpaqueDaemon::EndWhenDone() {
+void OpaqueDaemon::ExitWhenDrained() {
   callers_->CloseIdle();
   const bool is_over =
       clock_.Now() - stop_began_ > settings_.stop.bound - kExitMargin;
   const bool is_in_work =
       callers_->connections() > 0 || queries_.in_flight() > 0;
   if (is_in_work && !is_over) {
-    traffic_.After(kDrainPollInterval, [this] { EndWhenDone(); });
+    traffic_.After(kDrainPollInterval, [this] { ExitWhenDrained(); });
     return;
   }
   log_.Write({.level = base::LogLevel::kInfo,
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -94,7 +94,7 @@
   //   3. End when no request is left, or shortly before the shutdown timeout.
   void StartGracefulStop();
   void CloseCallers();
-  void EndWhenDone();
+  void ExitWhenDrained();
 
   settings::DaemonSettings settings_;
   const base::Log log_;
