--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -85,13 +85,13 @@
                    store_calls_.source(),
                    blackboard_,
                    log_),
-      leaves_(traffic_context_,
-              clock_,
-              traffic_,
-              platform::MakeLeafCodec(),
-              [this](const blackboard::Upstream& upstream) {
-                return ConnectionShare(upstream);
-              }),
+      leaf_client_(traffic_context_,
+                   clock_,
+                   traffic_,
+                   platform::MakeLeafCodec(),
+                   [this](const blackboard::Upstream& upstream) {
+                     return ConnectionShare(upstream);
+                   }),
       peers_(traffic_context_,
              clock_,
              traffic_,
@@ -172,7 +172,7 @@
 }
 
 query::ForwardService::Ports OpaqueDaemon::MakeQueryPorts() {
-  return {leaves_.port(),
+  return {leaf_client_.port(),
           peers_.port(),
           [this](const burn::RequestRecord& record) { Record(record); },
           [this](int sends) {
@@ -436,9 +436,9 @@
 void OpaqueDaemon::PruneConnections() {
   traffic_lag_.ExpectTick(clock_.Now() + kPruneInterval);
   traffic_.After(kPruneInterval, [this] {
-    leaves_.Prune(*blackboard_.upstreams.Read());
+    leaf_client_.Prune(*blackboard_.upstreams.Read());
     if (settings_.measuring.without != base::Mechanism::kSpareConnections) {
-      leaves_.CloseSpare();
+      leaf_client_.CloseSpare();
     }
     PruneConnections();
   });
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -115,7 +115,7 @@
   boost::asio::signal_set signals_{traffic_context_};
   platform::StoreCalls store_calls_;
   StoreControllers controllers_;
-  upstream::ForwardClient leaves_;
+  upstream::ForwardClient leaf_client_;
   upstream::ForwardClient peers_;
   const std::shared_ptr<routing::LeafTracker> tracker_;
   const std::shared_ptr<quarantine::Quarantine> quarantine_;
