--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -92,11 +92,12 @@
                    [this](const blackboard::Upstream& upstream) {
                      return ConnectionShare(upstream);
                    }),
-      peers_(traffic_context_,
-             clock_,
-             traffic_,
-             platform::MakePeerCodec(),
-             [](const blackboard::Upstream&) { return kPeerConnections; }),
+      peer_client_(
+          traffic_context_,
+          clock_,
+          traffic_,
+          platform::MakePeerCodec(),
+          [](const blackboard::Upstream&) { return kPeerConnections; }),
       tracker_(std::make_shared<routing::LeafTracker>(
           routing::Place{settings_.vm.region, settings_.vm.failure_domain},
           clock_,
@@ -173,7 +174,7 @@
 
 query::ForwardService::Ports OpaqueDaemon::MakeQueryPorts() {
   return {leaf_client_.port(),
-          peers_.port(),
+          peer_client_.port(),
           [this](const burn::RequestRecord& record) { Record(record); },
           [this](int sends) {
             metrics_.Count(metrics::Counter::kUpstreamSends, sends);
--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -116,7 +116,7 @@
   platform::StoreCalls store_calls_;
   StoreControllers controllers_;
   upstream::ForwardClient leaf_client_;
-  upstream::ForwardClient peers_;
+  upstream::ForwardClient peer_client_;
   const std::shared_ptr<routing::LeafTracker> tracker_;
   const std::shared_ptr<quarantine::Quarantine> quarantine_;
   query::ForwardService queries_;
