--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -104,7 +104,7 @@
           },
           blackboard,
           log)),
-      known_(clock.Now().microseconds),
+      event_log_(clock.Now().microseconds),
       news_(std::make_shared<relay::NewsSource>(
           relay::NewsSourceSettings{
               {settings.vm.name, settings.vm.failure_domain,
@@ -122,7 +122,7 @@
           [this] { DidRestoreStore(); },
           log)),
       news_server_(std::make_shared<relay::NewsServer>(
-          known_,
+          event_log_,
           control,
           [news = news_] { return news->freshness(); },
           [this](const std::string& entry) {
@@ -154,7 +154,9 @@
           std::move(random),
           control,
           news_->source(),
-          [this](const store::Position& position) { known_.DidList(position); },
+          [this](const store::Position& position) {
+            event_log_.DidList(position);
+          },
           [this](const std::vector<store::Event>& events) {
             DidChange(events);
           },
@@ -195,14 +197,14 @@
   leaves_.Publish();
   registration_->Publish();
   CheckReadiness();
-  known_.Append(events);
+  event_log_.Append(events);
   news_server_->DidAppend();
 }
 
 void StoreControllers::DidReach(const store::Position& position) {
-  const bool is_restored = position.era > known_.position().era;
-  known_.DidReach(position);
-  blackboard_.store.Write(known_.position());
+  const bool is_restored = position.era > event_log_.position().era;
+  event_log_.DidReach(position);
+  blackboard_.store.Write(event_log_.position());
   if (is_restored) {
     // Tells the followers of the new era even if no key has changed.
     news_server_->DidAppend();
--- a/src/daemon/store_controllers.h
+++ b/src/daemon/store_controllers.h
@@ -71,7 +71,7 @@
   targets::RouteController routes_;
   const std::shared_ptr<quarantine::VerdictController> verdicts_;
   // The changes that this daemon has seen, for the peers that follow it.
-  store::EventLog known_;
+  store::EventLog event_log_;
   const std::shared_ptr<relay::NewsSource> news_;
   const std::shared_ptr<relay::NewsServer> news_server_;
   const std::shared_ptr<http1::CallerListener> peers_;
