--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -128,10 +128,10 @@
           [this](const std::string& entry) {
             registration_->DidHearFollower(entry);
           })),
-      peers_(MakePeerListener(context,
-                              settings.peers.address,
-                              news_server_,
-                              clock)),
+      peer_listener_(MakePeerListener(context,
+                                      settings.peers.address,
+                                      news_server_,
+                                      clock)),
       registration_(std::make_shared<membership::LeaseRegistration>(
           membership::LeaseRegistrationSettings{},
           MakeSelf(settings),
--- a/src/daemon/store_controllers.h
+++ b/src/daemon/store_controllers.h
@@ -41,7 +41,7 @@
                    base::Log log);
 
   // Opens the listener for peers. Call before Start().
-  base::Status Open() { return peers_->Open(); }
+  base::Status Open() { return peer_listener_->Open(); }
   // Called on the control thread.
   void Start();
   void Stop();
@@ -74,7 +74,7 @@
   store::EventLog event_log_;
   const std::shared_ptr<relay::NewsSource> news_;
   const std::shared_ptr<relay::NewsServer> news_server_;
-  const std::shared_ptr<http1::CallerListener> peers_;
+  const std::shared_ptr<http1::CallerListener> peer_listener_;
   const std::shared_ptr<membership::LeaseRegistration> registration_;
   const std::shared_ptr<store::Follower> follower_;
 };
