--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -47,7 +47,7 @@
 // How long a daemon that found no other daemon at its start waits before it
 // reads the store again: VMs with a larger share of a processor have registered
 // by then, and it is well before this daemon would register itself.
-base::Duration FirstWait(const settings::VmSettings& vm) {
+base::Duration InitialRereadDelay(const settings::VmSettings& vm) {
   constexpr int kPercent = 70;
   return membership::RegistrationWait({}, vm.processor_share) * kPercent / 100;
 }
@@ -109,7 +109,7 @@
           relay::NewsSourceSettings{
               {settings.vm.name, settings.vm.failure_domain,
                ParseAddresses(settings.peers.seeds)},
-              FirstWait(settings.vm)},
+              InitialRereadDelay(settings.vm)},
           clock,
           control,
           store,
