--- a/src/peer/acceptor.cc
+++ b/src/peer/acceptor.cc
@@ -1,4 +1,4 @@
-// A loop of asynchronous accepts behind peer::Acceptor.
+// The asynchronous accept loop.
 
 #include "src/peer/acceptor.h"
 
@@ -80,8 +80,9 @@
   }
   log_.DidFail(base::MakeError(ErrorCode::kUnavailable, Step::kListen, address_,
                                error.message()),
-               "the next connection is accepted after a pause");
-  // Out of file descriptors, most likely: waits for some to come free.
+               "accepting a connection failed; retrying after a delay");
+  // The process has most likely run out of file descriptors, so a retry makes
+  // sense only after some have been closed.
   timers_.After(retry_delay_, [self = shared_from_this()] {
     boost::asio::post(self->acceptor_.get_executor(),
                       [self] { self->Accept(); });
--- a/src/peer/acceptor.h
+++ b/src/peer/acceptor.h
@@ -1,5 +1,5 @@
-// Takes in the connections that peers open. A session: it keeps itself alive
-// until it is closed.
+// Accepts TCP connections from peers. Its pending operations keep it alive
+// until Close() is called.
 
 #ifndef MEDLARSPREAD_PEER_ACCEPTOR_H_
 #define MEDLARSPREAD_PEER_ACCEPTOR_H_
@@ -22,23 +22,23 @@
 
 class Acceptor : public std::enable_shared_from_this<Acceptor> {
  public:
-  // Runs on a traffic thread, one at a time. The socket has a strand of its
-  // own over the same threads.
+  // Called on a traffic thread, never concurrently. The socket has its own
+  // strand on the same io_context.
   using DidAccept = std::function<void(Connection::Socket)>;
 
-  // After a failed accept the next one waits for `retry_delay`.
+  // A failed accept is retried after `retry_delay`.
   Acceptor(boost::asio::io_context& traffic,
            base::Duration retry_delay,
            base::Log log,
            DidAccept did_accept);
 
-  // Listens on "ip:port"; port 0 takes a free one. Errors: kInvalidArgument,
-  // kUnavailable.
+  // Listens on "ip:port"; port 0 lets the system choose one. Errors:
+  // kInvalidArgument, kUnavailable.
   base::Status Open(const std::string& listen_address);
   // Safe to call from any thread, more than once.
   void Close();
 
-  // "ip:port" with the port that was taken. Valid once open.
+  // "ip:port" with the actual port. Valid after Open().
   const std::string& address() const { return address_; }
 
  private:
@@ -53,7 +53,7 @@
   const DidAccept did_accept_;
   std::string address_;
   std::atomic<bool> is_closed_ = false;
-  // Used on its own strand after Open().
+  // After Open(), accessed only on its own strand.
   boost::asio::basic_socket_acceptor<boost::asio::ip::tcp, Connection::Strand>
       acceptor_;
 };
--- a/src/peer/codec.cc
+++ b/src/peer/codec.cc
@@ -1,4 +1,4 @@
-// Thrift's compact protocol over memory buffers behind peer::Codec.
+// Uses Thrift's compact protocol on memory buffers.
 
 #include "src/peer/codec.h"
 
@@ -23,7 +23,7 @@
 
 constexpr int kBitsPerByte = 8;
 
-// Moves each alternative of a Message into its field of the envelope.
+// Visitor that moves a Message into the matching field of the envelope.
 struct FillEnvelope {
   wire::Envelope& envelope;
 
@@ -61,7 +61,7 @@
   }
 };
 
-// Collects the one message of an envelope and notices a second one.
+// Extracts the message of an envelope and counts how many are set.
 class MessagePicker {
  public:
   template <typename T>
@@ -104,13 +104,15 @@
   }
 }
 
-// May throw what the library throws on malformed input.
+// Throws Thrift's exceptions on malformed input.
 wire::Envelope ReadEnvelope(std::string_view bytes) {
-  // A container or string can't have more elements than there are bytes, so
-  // a length that lies is refused before memory is set aside for it.
+  // A container or string can't have more elements than the envelope has bytes.
+  // With this limit a forged length is rejected before memory is allocated for
+  // it.
   const auto limit = static_cast<int>(bytes.size());
   auto buffer = std::make_shared<TMemoryBuffer>(
-      // NOTE: the library's interface lacks const; OBSERVE never writes.
+      // NOTE: Thrift's constructor takes a non-const pointer, but a buffer with
+      // OBSERVE never writes to it.
       reinterpret_cast<std::uint8_t*>(const_cast<char*>(bytes.data())),
       static_cast<std::uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE,
       std::make_shared<TConfiguration>(limit, limit));
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -1,5 +1,5 @@
-// Turns messages into frames and back: four bytes of length in network order,
-// then one wire::Envelope in Thrift's compact protocol.
+// Encodes and decodes the frames of a peer link: a four-byte length in network
+// byte order, then one wire::Envelope in Thrift's compact protocol.
 
 #ifndef MEDLARSPREAD_PEER_CODEC_H_
 #define MEDLARSPREAD_PEER_CODEC_H_
@@ -15,34 +15,34 @@
 
 namespace medlarspread::peer {
 
-// Bytes of length in front of each envelope.
+// Size of the length field in front of each envelope.
 constexpr std::size_t kFrameHeaderBytes = 4;
 using FrameHeader = std::array<unsigned char, kFrameHeaderBytes>;
 
-// A message together with the daemon that its envelope names.
+// A message together with the sender that its envelope names.
 struct ReceivedMessage {
   Sender sender;
   Message message;
 };
 
-// Stateless but for the settings; safe to use from any thread.
+// Immutable; safe to use from any thread.
 class Codec {
  public:
-  // `self` is named in every envelope that this codec writes. No envelope may
-  // be larger than `max_frame_bytes`, in either direction.
+  // `self` is the sender in every encoded envelope. `max_frame_bytes` limits
+  // the size of encoded and decoded envelopes.
   Codec(Sender self, std::size_t max_frame_bytes);
 
   // The whole frame, header included. Errors: kTooLarge.
   base::Result<std::string> Encode(Message message,
                                    const std::string& peer) const;
 
-  // Reads one envelope without its header. Errors: kMalformed if it is no
-  // envelope, names no sender, or carries no message or more than one.
+  // Decodes one envelope without its header. Errors: kMalformed if the bytes
+  // are not an envelope, or if it has no sender or not exactly one message.
   base::Result<ReceivedMessage> Decode(std::string_view envelope,
                                        const std::string& peer) const;
 
-  // The length that a header announces. Errors: kTooLarge, and kMalformed for
-  // an empty frame.
+  // Returns the length of the envelope that follows the header. Errors:
+  // kTooLarge, and kMalformed if the length is 0.
   base::Result<std::size_t> DecodeHeader(const FrameHeader& header,
                                          const std::string& peer) const;
 
--- a/src/peer/connection.cc
+++ b/src/peer/connection.cc
@@ -1,11 +1,13 @@
-// Boost.Asio reads and writes behind peer::Connection.
+// The asynchronous operations of a connection:
 //
-// 1. Connect() or Start() begins reading and writes what is queued.
-// 2. Reading takes a header, then an envelope, for as long as the handler
-//    accepts them.
-// 3. Writing takes all queued frames at once, so that a burst costs few calls.
-// 4. Finish() closes the socket; pending operations end with an error that is
-//    ignored because the connection is closed by then.
+// 1. Once connected, it starts to read and writes the queued frames.
+// 2. It reads a header, then an envelope, until the handler returns an error.
+// 3. Each write sends all queued frames at once, so that a burst of frames
+// needs
+//    few system calls.
+// 4. Finish() closes the socket. Pending operations then complete with an
+// error,
+//    which is ignored because the connection is already closed.
 
 #include "src/peer/connection.h"
 
@@ -23,8 +25,8 @@
 using base::ErrorCode;
 using boost::system::error_code;
 
-// An envelope's buffer that has grown beyond this is given back when the next
-// envelope is small: idle connections are many.
+// A read buffer above this size is freed when the next envelope is small,
+// because most of the many connections are idle.
 constexpr std::size_t kRetainedBufferBytes = 4096;
 
 }  // namespace
@@ -55,7 +57,7 @@
 void Connection::Connect(const boost::asio::ip::tcp::endpoint& endpoint,
                          base::Duration timeout) {
   {
-    // Held until the connection is up, so that Send() only queues.
+    // Until the socket is connected, Send() must only queue.
     const std::lock_guard lock(mutex_);
     is_writing_ = true;
   }
@@ -83,7 +85,7 @@
   }
   was_connected_ = true;
   error_code ignored;
-  // Failure would only cost latency.
+  // Without the option the link only has a higher latency.
   socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   ReadHeader();
   WriteQueued();
@@ -241,14 +243,15 @@
   }
   connect_timer_.cancel();
   error_code ignored;
-  // The socket goes away with the session; there is nobody to tell.
+  // Errors don't matter, since the socket is not used again.
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
   {
     const std::lock_guard lock(mutex_);
     queue_.clear();
   }
-  // Moved out, because the handlers may own what owns this session.
+  // Moved out of the member to break the reference cycle: the handlers may own
+  // the owner of this connection.
   const Handlers handlers = std::exchange(handlers_, Handlers());
   handlers.did_close(*this, reason);
 }
--- a/src/peer/connection.h
+++ b/src/peer/connection.h
@@ -1,6 +1,6 @@
-// One TCP connection to or from a peer: connects with a timeout, reads frames,
-// writes a bounded queue of frames. It is a session that keeps itself alive
-// through its pending operations and ends with exactly one call of `did_close`.
+// One TCP connection to or from a peer: connects with a timeout, reads frames
+// and writes a bounded queue of frames. Its pending operations keep it alive.
+// It ends with exactly one call of `did_close`.
 
 #ifndef MEDLARSPREAD_PEER_CONNECTION_H_
 #define MEDLARSPREAD_PEER_CONNECTION_H_
@@ -29,40 +29,40 @@
   using Strand = boost::asio::strand<boost::asio::io_context::executor_type>;
   using Socket = boost::asio::basic_stream_socket<boost::asio::ip::tcp, Strand>;
 
-  // Both run on the connection's own sequence, on a traffic thread.
+  // Both are called on the connection's strand, on a traffic thread.
   struct Handlers {
-    // One envelope without its header. An error closes the connection.
+    // Receives one envelope without its header. An error closes the connection.
     std::function<base::Status(Connection&, std::string_view)> did_read;
-    // Nothing runs after it. The error says why the connection ended.
+    // The last call to a handler. The error says why the connection ended.
     std::function<void(Connection&, const base::Error&)> did_close;
   };
 
-  // `label` names the peer in errors; `codec` must outlive the connection.
-  // Frames beyond `max_queue_bytes` waiting to be written are refused.
+  // `label` names the peer in errors. Send() fails if more than
+  // `max_queue_bytes` would wait to be written.
   Connection(Socket socket,
              std::shared_ptr<const Codec> codec,
              std::size_t max_queue_bytes,
              std::string label,
              Handlers handlers);
 
-  // Starts with a socket that is already connected.
+  // Starts reading and writing on a socket that is already connected.
   void Start();
-  // Connects first; frames may be queued at once.
+  // Connects the socket first. Send() may be called before it is connected.
   void Connect(const boost::asio::ip::tcp::endpoint& endpoint,
                base::Duration timeout);
 
-  // Queues one frame. Errors: kOverloaded (queue full), kConnectionLost.
-  // Either way nothing of the frame is sent.
+  // Queues one frame. Errors: kOverloaded (the queue is full), kConnectionLost.
+  // After an error no byte of the frame is sent.
   base::Status Send(std::string frame);
 
-  // Ends the connection at once; queued frames are dropped.
+  // Closes the connection at once and drops the queued frames.
   void Close(base::Error reason);
-  // Ends it once the queue is written.
+  // Closes the connection once the queued frames are written.
   void CloseAfterFlush(base::Error reason);
 
   const std::string& label() const { return label_; }
   bool is_closed() const { return is_closed_; }
-  // Whether it was ever connected; false after a refused or timed out connect.
+  // Whether the connection was ever established.
   bool was_connected() const { return was_connected_; }
 
  private:
@@ -74,7 +74,7 @@
   void DidReadEnvelope(const boost::system::error_code& error);
   void WriteQueued();
   void DidWrite(const boost::system::error_code& error);
-  // On the sequence only.
+  // Called on the strand only.
   void Finish(const base::Error& reason);
 
   Socket socket_;
@@ -86,7 +86,7 @@
   std::atomic<bool> is_closed_ = false;
   std::atomic<bool> was_connected_ = false;
 
-  // The read side belongs to the sequence.
+  // Accessed on the strand only.
   FrameHeader header_{};
   std::string envelope_;
 
@@ -99,7 +99,7 @@
   bool is_flushing_ = false;
   base::Error flush_reason_;
 
-  // The frames of the write in progress; belongs to the sequence.
+  // The frames of the write in progress; accessed on the strand only.
   std::vector<std::string> writing_;
 };
 
--- a/src/peer/endpoint.cc
+++ b/src/peer/endpoint.cc
@@ -1,4 +1,4 @@
-// Boost.Asio's address parser plus a check of the port.
+// Uses Boost.Asio's address parser and checks the port.
 
 #include "src/peer/endpoint.h"
 
--- a/src/peer/endpoint.h
+++ b/src/peer/endpoint.h
@@ -1,4 +1,4 @@
-// Reads "ip:port" texts, as they stand in settings and in the VM list.
+// Parses and formats the "ip:port" addresses of the settings and the VM list.
 
 #ifndef MEDLARSPREAD_PEER_ENDPOINT_H_
 #define MEDLARSPREAD_PEER_ENDPOINT_H_
@@ -11,7 +11,7 @@
 
 namespace medlarspread::peer {
 
-// Errors: kInvalidArgument. Names are not resolved: VMs talk by IP numbers.
+// Errors: kInvalidArgument. Host names are not resolved; VMs use IP addresses.
 base::Result<boost::asio::ip::tcp::endpoint> ParseEndpoint(
     const std::string& address);
 
--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -1,4 +1,4 @@
-// Maps under one mutex behind peer::LinkTable.
+// All maps are guarded by one mutex.
 
 #include "src/peer/link_table.h"
 
@@ -12,7 +12,7 @@
 using base::ErrorCode;
 using base::Step;
 
-// Beyond this many failures the backoff no longer grows.
+// After this many failures in a row the backoff no longer increases.
 constexpr int kMaxBackoffDoublings = 16;
 
 }  // namespace
@@ -29,7 +29,7 @@
   const std::lock_guard lock(mutex_);
   if (is_shut_) {
     return base::MakeError(ErrorCode::kStopping, Step::kPeerLink, peer,
-                           "links are closed");
+                           "peer links are closed");
   }
   Peer& entry = outgoing_[peer];
   Outgoing result;
@@ -45,8 +45,9 @@
     return result;
   }
   if (clock_.Now() < entry.retry_at) {
-    return base::MakeError(ErrorCode::kUnreachable, Step::kPeerLink, peer,
-                           "link failed, next try follows");
+    return base::MakeError(
+        ErrorCode::kUnreachable, Step::kPeerLink, peer,
+        "link failed recently; waiting before the next attempt");
   }
   if (entry.connection) {
     replaced_.insert(entry.connection);
@@ -93,7 +94,8 @@
   const int doublings = std::min(peer.failures++, kMaxBackoffDoublings);
   const auto longest =
       std::min(backoff_.maximum, backoff_.initial * (1 << doublings));
-  // Between a half and the whole, so that peers don't return in step.
+  // Random jitter between half and all of the delay, so that peers don't
+  // reconnect at the same time.
   const double share = 0.5 + 0.5 * random_.Unit();
   const auto delay =
       static_cast<std::int64_t>(static_cast<double>(longest.count()) * share);
--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -1,5 +1,6 @@
-// Which links this daemon has and which incarnation of each peer is the newest
-// seen. Guards itself; never calls out while it is locked.
+// The open links of this daemon and the newest incarnation seen of each peer.
+// Safe to use from any thread. Calls back (`connect` of FindOrConnect()) while
+// its mutex is locked, so the callback must not use the table.
 
 #ifndef MEDLARSPREAD_PEER_LINK_TABLE_H_
 #define MEDLARSPREAD_PEER_LINK_TABLE_H_
@@ -25,7 +26,7 @@
 
 using ConnectionPointer = std::shared_ptr<Connection>;
 
-// How long a failed outgoing link waits before it is tried again.
+// Delays before the next connection attempt to a peer after failures.
 struct BackoffSettings {
   base::Duration initial{};
   base::Duration maximum{};
@@ -35,9 +36,10 @@
  public:
   LinkTable(BackoffSettings backoff, base::Clock clock, std::uint64_t seed);
 
-  // Makes the connection to `address` with `connect` if there is none. If a
-  // link to another address of the peer exists, it is returned in `replaced`
-  // to be closed. Errors: kUnreachable (in backoff), kStopping.
+  // Returns the connection to `address`; calls `connect` to create it if there
+  // is none. If the peer had a link to another address, the caller must close
+  // that one, which is in `replaced`. Errors: kUnreachable (in backoff),
+  // kStopping.
   struct Outgoing {
     ConnectionPointer connection;
     ConnectionPointer replaced;
@@ -47,10 +49,10 @@
       const std::string& address,
       const std::function<ConnectionPointer()>& connect);
 
-  // Whether the connection was taken in; false once closed.
+  // Adds an accepted connection. Returns false if the table is shut.
   bool AddIncoming(const ConnectionPointer& connection);
 
-  // What the name and incarnation in an envelope mean for the links.
+  // The result of recording the sender of an envelope.
   struct Identification {
     // The highest incarnation of the sender seen so far, this one included.
     std::int64_t newest_incarnation = 0;
@@ -60,26 +62,27 @@
   Identification Identify(const ConnectionPointer& connection,
                           const Sender& sender);
 
-  // Forgets a closed link. Returns the peer if the loss concerns it, or an
-  // empty name for links that never carried anything.
+  // Removes a closed link. Returns the name of its peer, or an empty string for
+  // an incoming link that never received a message.
   std::string Remove(const Connection& connection, bool is_failure);
 
-  // All links to and from the peer.
+  // All links to and from the peer, except replaced ones.
   std::vector<ConnectionPointer> LinksOf(const std::string& peer) const;
 
-  // Drops what is remembered of a peer that has no links and will not be
-  // talked to again.
+  // Discards the state of a peer that was removed from the fleet. Links that
+  // are still open stay in the table.
   void Forget(const std::string& peer);
 
-  // Takes no new links from now on and returns all that exist.
+  // Rejects new links from now on and returns all that are open.
   std::vector<ConnectionPointer> Shut();
-  // Whether all links were gone before `timeout` had passed.
+  // Blocks until all links are removed; returns false after `timeout`.
   bool WaitUntilEmpty(base::Duration timeout);
 
   std::size_t size() const;
 
  private:
-  // State of the way to one peer. It outlives its connection, for the backoff.
+  // The outgoing link to one peer. The entry outlives the connection, because
+  // it holds the backoff state.
   struct Peer {
     std::string address;
     ConnectionPointer connection;
@@ -88,7 +91,7 @@
   };
   struct Incoming {
     ConnectionPointer connection;
-    // Empty until the first envelope.
+    // Empty until the first envelope has arrived.
     Sender sender;
   };
 
--- a/src/peer/message.h
+++ b/src/peer/message.h
@@ -1,5 +1,5 @@
-// The messages between daemons as one variant, for visitors, and the port
-// through which the rest of the daemon sends them.
+// The messages between daemons as a variant, and the interface through which
+// the rest of the daemon sends them.
 
 #ifndef MEDLARSPREAD_PEER_MESSAGE_H_
 #define MEDLARSPREAD_PEER_MESSAGE_H_
@@ -29,18 +29,20 @@
   std::int64_t incarnation = 0;
 };
 
-// Sends to other VMs by name. A message that was queued may still be lost with
-// its link; DidLosePeer tells.
+// Sends messages to other VMs by name. A queued message may still be lost with
+// its link; DidLosePeer reports that.
 struct PeerPort {
-  // Queues the message for the peer, connecting if need be. Returns an error
-  // if the peer is not known or its queue is full: then nothing is sent.
+  // Queues the message for the peer and connects if necessary. If it returns an
+  // error, such as an unknown peer or a full queue, nothing is sent.
   std::function<base::Status(const std::string& peer, Message)> send;
 };
 
-// Runs for each message received, on a traffic thread, in order per link.
+// Called for each received message on a traffic thread, in the order of arrival
+// on each link.
 using DidReceive = std::function<void(const Sender&, Message)>;
 
-// Runs when a link to a peer is lost: replies that it owed will not come.
+// Called when a link to or from a peer is lost: outstanding replies from the
+// peer may never arrive.
 using DidLosePeer = std::function<void(const std::string& peer)>;
 
 }  // namespace medlarspread::peer
--- a/src/peer/peer.thrift
+++ b/src/peer/peer.thrift
@@ -1,35 +1,35 @@
-// Messages between the daemons. Each travels as one frame: a four-byte length,
-// then one Envelope in the compact protocol. A link carries many requests at
-// once and in any order; replies are matched by the identifiers they carry,
-// never by their place on the link.
+// Messages between the daemons. Each message is sent as one frame: a four-byte
+// length, then one Envelope in the compact protocol. Requests on a link are
+// concurrent, and replies may arrive in any order; they are matched by the
+// identifiers they carry, never by their order on the link.
 //
-// Times in messages are durations left or ages, never clock readings, because
-// the clocks of two VMs need not agree.
+// Times in messages are remaining durations or ages, never clock readings,
+// because the clocks of two VMs may differ.
 
 namespace cpp medlarspread.peer.wire
 
-// One region of the key space of a collection: [low, high).
+// A half-open range of the key space of a collection: [low, high).
 struct KeyRange {
   1: i32 low;
   2: i32 high;
 }
 
-// An index version together with the shard layout it is served in.
+// An index version and the shard layout with which it is served.
 struct Snapshot {
   1: i64 index_version;
   2: i64 layout_version;
 }
 
-// What one VM says of one VM (itself or another).
+// What one VM knows about one VM (itself or another).
 struct MemberRecord {
   1: string name;
   2: string address;
   3: string region;
   4: string failure_domain;
-  // Grows with each start of the VM's process.
+  // Increases with each start of the VM's process.
   5: i64 incarnation;
-  // Grows within an incarnation whenever the VM contradicts a record that
-  // calls it gone.
+  // Increases within an incarnation each time the VM refutes a record that
+  // declares it gone.
   6: i64 heartbeat;
   // The index of membership::RecordState.
   7: i32 state;
@@ -38,12 +38,12 @@
   9: i64 targets_digest;
 }
 
-// What the sender knows of one failure domain as a whole.
+// What the sender knows about one failure domain as a whole.
 struct DomainSummary {
-  // Milliseconds since a daemon of the domain was last heard, by the sender or
-  // by a daemon that told it.
+  // Milliseconds since the last message from a daemon of the domain, to the
+  // sender or to a daemon that told the sender about it.
   1: i32 age_ms;
-  // Over name, incarnation and state of its live and leaving daemons.
+  // A hash of the name, incarnation and state of its live and leaving daemons.
   2: i64 digest;
   // The lowest revision of the targets in force on its live daemons.
   3: i64 lowest_revision;
@@ -51,25 +51,25 @@
 
 struct Heartbeat {
   1: MemberRecord sender;
-  // Records of other VMs that changed lately or were asked for.
+  // Records of other VMs that changed recently or were requested.
   2: list<MemberRecord> others;
-  // Set when the sender asks for the whole table back.
+  // Whether the sender requests the receiver's whole table.
   3: bool wants_table;
-  // Upstreams that the sender has heard to be draining, by name, with the
-  // age of that news in milliseconds.
+  // Upstreams that are reported to be draining: name to the age of the report
+  // in milliseconds.
   4: map<string, i32> draining_upstreams;
   // The index of membership::HeartbeatKind.
   5: i32 kind;
   // By failure domain; empty on most heartbeats.
   6: map<string, DomainSummary> domains;
-  // Failure domains whose records the sender asks for.
+  // Failure domains whose records the sender requests.
   7: list<string> wanted_domains;
-  // Failure domains that the sender can't reach. Heeded only from those who
-  // watch the other domains for the receiver's.
+  // Failure domains that the sender can't reach. Receivers accept this only from
+  // the daemons that monitor other domains on behalf of the receiver's domain.
   8: list<string> unreachable_domains;
 }
 
-// Asks the owner of the queues for shards of one collection.
+// Sent to the owner of a collection's queues: requests the results of shards.
 struct SubQuery {
   1: i64 sub_query_id;
   2: string request_id;
@@ -77,24 +77,24 @@
   4: string collection;
   5: Snapshot snapshot;
   6: list<KeyRange> ranges;
-  // Time left until the caller's deadline and until the class's target.
+  // Time left until the caller's deadline and until the class's latency target.
   7: i32 deadline_left_us;
   8: i32 target_left_us;
   9: binary query;
-  // Set for a second send: goes to the head of the queue.
+  // Set for a second (hedged) send, which goes to the head of the queue.
   10: bool is_hedge;
-  // Set for a non-idempotent request: each range is sent once at most.
+  // Set for a non-idempotent request: each range is sent at most once.
   11: bool is_at_most_once;
 }
 
-// How full the queue of this shard is at its owner; rides on every reply.
+// The load of the shard's queue at its owner; included in every reply.
 struct QueueLoad {
   1: i32 queued;
   2: i32 running;
   3: i32 slots;
   // Expected wait of a new request of the same class.
   4: i32 expected_wait_us;
-  // By how much the replicas here are slower than is typical.
+  // How much slower the local replicas are than usual.
   5: i32 service_excess_us;
 }
 
@@ -126,18 +126,20 @@
   1: i64 sub_query_id;
 }
 
-// Asks for the targets body; sent when a heartbeat shows a higher revision.
+// Requests the targets body; sent when a heartbeat shows a higher revision.
 struct TargetsRequest {
   1: i64 above_revision;
 }
 
-// The whole record of targets as stored, or nothing newer if body is empty.
+// The whole stored record of targets. An empty body means that the sender has
+// no newer one.
 struct TargetsBody {
   1: i64 revision;
   2: binary body;
 }
 
-// Asks the daemon that groups the claims of a bucket to commit one claim.
+// Requests one claim from the daemon that commits the claims of a bucket in
+// groups.
 struct ClaimRequest {
   1: i64 claim_id;
   2: string request_id;
@@ -153,7 +155,7 @@
   4: string detail;
 }
 
-// A key of the store as it was written; removed, if `value` is not set.
+// A write of a key in the store, or its removal if `value` is not set.
 struct StoreEvent {
   1: string key;
   2: optional binary value;
@@ -162,17 +164,19 @@
   4: i64 era;
 }
 
-// What a daemon that follows the store passes on to one that does not. It
-// travels as the body of an HTTP answer that may be waited for, not in an
-// Envelope.
+// Store changes that a daemon passes on to one that does not read the store
+// itself. Sent as the body of an HTTP response (possibly to a long poll), not in
+// an Envelope.
 struct StoreNews {
-  // All keys, or the changes after the revision that was asked for.
+  // All keys, or the changes after the requested revision.
   1: list<StoreEvent> events;
-  // Everything up to this revision of the store is known.
+  // The sender knows every change up to this revision of the store.
   2: i64 revision;
-  // Names the sender's last change; to be sent with the next request.
+  // Identifies the last change that the sender knows; the receiver sends it
+  // back with its next request.
   3: i64 cursor;
-  // Milliseconds since the store last answered the first daemon of the chain.
+  // Milliseconds since the store last answered the daemon that reads it, which
+  // is the first of those that passed the changes on.
   4: i32 age_ms;
   // Whether the sender reads the store itself.
   5: bool is_direct;
@@ -180,20 +184,20 @@
   6: i64 era;
 }
 
-// How requests of one class of work ended at one leaf, as one daemon or several
-// saw it within some tenths of a second.
+// The outcomes of the requests of one class at one leaf, as one or more daemons
+// saw them within a few tenths of a second.
 struct LeafReport {
-  // The name of one start of the leaf.
+  // Identifies one start of the leaf's process.
   1: string leaf;
   2: string class_name;
-  // Failures included.
+  // Includes failures.
   3: i32 replies;
   4: i32 failures;
-  // Microseconds that the answers took at the leaf, on average; 0 without any.
+  // Average processing time at the leaf in microseconds; 0 without answers.
   5: i64 work_us;
 }
 
-// What became of runs of one request.
+// What happened to a run of one request at a leaf.
 struct RunReport {
   // 16 bytes.
   1: binary fingerprint;
@@ -202,14 +206,14 @@
   // Microseconds since the run began and ended.
   3: i64 began_age_us;
   4: i64 ended_age_us;
-  // The name of one start of the leaf that ended; empty if none did.
+  // Identifies the start of the leaf's process that ended; empty if none ended.
   5: string leaf;
 }
 
-// A datagram between daemons.
+// The content of a datagram between daemons.
 struct LeafReports {
   1: list<LeafReport> reports;
-  // Whether the receiver is to pass them on in its failure domain.
+  // Whether the receiver must forward the reports within its failure domain.
   2: bool is_to_be_passed_on;
   3: list<RunReport> runs;
 }
--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -1,4 +1,4 @@
-// The acceptor and the life of links behind peer::PeerNetwork.
+// Opens, identifies and closes the links.
 
 #include "src/peer/peer_network.h"
 
@@ -21,8 +21,8 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// A peer that sends what can't be read needs somebody's attention; one that
-// goes away is an everyday event.
+// Protocol errors are logged as warnings because an operator must look into
+// them. Lost connections are routine.
 base::LogLevel LevelOf(const base::Error& reason) {
   const bool is_fault = reason.code == ErrorCode::kMalformed ||
                         reason.code == ErrorCode::kTooLarge ||
@@ -30,7 +30,8 @@
   return is_fault ? base::LogLevel::kWarning : base::LogLevel::kInfo;
 }
 
-// The heartbeat that tells an older incarnation of `name` of the newer one.
+// The heartbeat that tells an older incarnation of `name` that a newer one
+// runs.
 Message MakeReplacedNotice(const std::string& name, std::int64_t incarnation) {
   wire::MemberRecord record;
   record.name = name;
@@ -93,7 +94,8 @@
   LinkTable links_;
   TrafficCounter sent_;
   TrafficCounter received_;
-  // The view that the links were last compared with; on timers_ only.
+  // The membership view that the links were last compared with; accessed on
+  // timers_ only.
   std::shared_ptr<const blackboard::MembershipView> pruned_view_;
 };
 
@@ -139,7 +141,7 @@
   error_code error;
   const tcp::endpoint remote = socket.remote_endpoint(error);
   if (error) {
-    // The peer has gone away already.
+    // The peer has already closed the connection.
     return;
   }
   const auto connection =
@@ -256,10 +258,12 @@
   auto notice = codec_->Encode(
       MakeReplacedNotice(sender.name, newest_incarnation), sender.name);
   if (notice.is_ok()) {
-    // A full queue can't be: nothing else is written on an incoming link.
+    // The queue can't be full: nothing else is sent on an incoming link.
     const base::Status status = connection.Send(std::move(notice.value()));
     if (!status.is_ok()) {
-      log_.DidFail(status.error(), "an older incarnation is not told");
+      log_.DidFail(
+          status.error(),
+          "an older incarnation could not be notified that it was replaced");
     }
   }
   connection.CloseAfterFlush(reason);
@@ -308,7 +312,7 @@
   ForgetPeers(*previous, *view);
 }
 
-// A peer that is neither a member nor absent any more was removed for good.
+// A peer that is no longer a member or absent was removed permanently.
 void PeerNetwork::Impl::ForgetPeers(const blackboard::MembershipView& previous,
                                     const blackboard::MembershipView& current) {
   for (const auto* table : {&previous.members, &previous.absent}) {
@@ -327,8 +331,8 @@
   if (acceptor_) {
     acceptor_->Close();
   }
-  const base::Error reason = base::MakeError(ErrorCode::kStopping, Step::kStop,
-                                             "", "this daemon stops");
+  const base::Error reason = base::MakeError(
+      ErrorCode::kStopping, Step::kStop, "", "this daemon is shutting down");
   const auto links = links_.Shut();
   for (const ConnectionPointer& link : links) {
     link->CloseAfterFlush(reason);
@@ -336,8 +340,9 @@
   if (links_.WaitUntilEmpty(settings_.flush_timeout)) {
     return;
   }
-  log_.DidFail(reason, std::to_string(links_.size()) +
-                           " links were not written out in time");
+  log_.DidFail(reason,
+               std::to_string(links_.size()) +
+                   " links still had queued messages after the flush timeout");
   for (const ConnectionPointer& link : links) {
     link->Close(reason);
   }
--- a/src/peer/traffic_counters.cc
+++ b/src/peer/traffic_counters.cc
@@ -1,4 +1,4 @@
-// Relaxed atomic sums behind peer::TrafficCounter.
+// Sums in relaxed atomics.
 
 #include "src/peer/traffic_counters.h"
 
--- a/src/peer/traffic_counters.h
+++ b/src/peer/traffic_counters.h
@@ -1,6 +1,5 @@
-// Counts the messages and bytes that a daemon exchanges with its peers, per
-// kind of message, so that the cost of control can be told from that of
-// queries.
+// Counts the messages and bytes between a daemon and its peers by message kind,
+// so that control traffic can be told from query traffic.
 
 #ifndef MEDLARSPREAD_PEER_TRAFFIC_COUNTERS_H_
 #define MEDLARSPREAD_PEER_TRAFFIC_COUNTERS_H_
@@ -17,11 +16,11 @@
 
 constexpr std::size_t kMessageKinds = std::variant_size_v<Message>;
 
-// The name of an alternative of Message, for reports: "heartbeat".
+// The name of a Message alternative for reports, such as "heartbeat".
 const char* MessageKindName(std::size_t kind);
 
-// Totals since the start. Bytes are those of the frames, headers included, and
-// leave out what TCP and IP add.
+// Totals since the start. `bytes` counts whole frames including their headers,
+// but not the overhead of TCP and IP.
 struct TrafficTotal {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;
--- a/tests/peer/codec_test.cc
+++ b/tests/peer/codec_test.cc
@@ -1,4 +1,4 @@
-// Frames round trip for every kind of message, and nothing else is accepted.
+// Every message kind survives a round trip; malformed input is rejected.
 
 #include "src/peer/codec.h"
 
@@ -82,9 +82,8 @@
   EXPECT_EQ(read.error().code, base::ErrorCode::kMalformed);
 }
 
-// Two structs written one after the other share a stop byte each: dropping the
-// first stop byte and appending the fields of a second message makes an
-// envelope that carries two.
+// An encoded struct ends with a stop byte. Dropping the envelope's stop byte
+// and appending a second message field makes an envelope with two messages.
 TEST_F(CodecTest, RefusesTwoMessagesInOneEnvelope) {
   std::string envelope = Envelope(wire::ClaimRequest());
   envelope.pop_back();
@@ -98,8 +97,8 @@
 TEST_F(CodecTest, ListLengthThatLiesIsRefusedBeforeItIsAllocated) {
   wire::Heartbeat heartbeat;
   std::string envelope = Envelope(heartbeat);
-  // The empty list of `others` is field 2 of type list: 0x19 0x0C. Its length
-  // becomes 2^31 - 1.
+  // The empty list `others` is field 2 of type list: 0x19 0x0C. Changes its
+  // length to 2^31 - 1.
   const auto list = envelope.find("\x19\x0C");
   ASSERT_NE(list, std::string::npos);
   envelope.replace(list, 2, "\x19\xFC\xFF\xFF\xFF\xFF\x07");
--- a/tests/peer/node.h
+++ b/tests/peer/node.h
@@ -1,5 +1,5 @@
-// One daemon's links for tests: a real PeerNetwork on loopback with a
-// blackboard that the test fills in and a record of what arrived.
+// Test fixture for one daemon's links: a real PeerNetwork on loopback, with a
+// blackboard that the test fills in and a record of received messages.
 
 #ifndef MEDLARSPREAD_TESTS_PEER_NODE_H_
 #define MEDLARSPREAD_TESTS_PEER_NODE_H_
@@ -20,7 +20,7 @@
 
 namespace medlarspread::peer {
 
-// Two traffic threads for as long as it lives.
+// Runs two traffic threads during its lifetime.
 class Traffic {
  public:
   Traffic() {
@@ -44,7 +44,7 @@
   std::vector<std::thread> threads_{2};
 };
 
-// Whether `condition` became true within a generous bound.
+// Polls until `condition` is true; returns false after a generous timeout.
 inline bool Eventually(const std::function<bool()>& condition) {
   constexpr auto kBound = std::chrono::seconds(20);
   constexpr auto kPause = std::chrono::milliseconds(2);
@@ -88,7 +88,7 @@
     EXPECT_TRUE(status.is_ok());
   }
 
-  // Makes the peer at `address` a member, or removes it if that is empty.
+  // Adds the peer to the membership view, or removes it if `address` is empty.
   void SetMember(const std::string& name, const std::string& address) {
     blackboard::MembershipView view = *blackboard_.membership.Read();
     view.members.erase(name);
--- a/tests/peer/peer_network_test.cc
+++ b/tests/peer/peer_network_test.cc
@@ -1,4 +1,5 @@
-// Links between real PeerNetworks, and against raw sockets that misbehave.
+// Links between real PeerNetworks, and with raw sockets that violate the
+// protocol.
 
 #include "src/peer/peer_network.h"
 
@@ -37,7 +38,7 @@
 
 class PeerNetworkTest : public testing::Test {
  protected:
-  // Whether the other end has closed the socket; waits for it.
+  // Blocks until the other end closes the socket or sends a byte.
   static bool IsClosedByPeer(tcp::socket& socket) {
     char byte = 0;
     boost::system::error_code error;
@@ -45,15 +46,15 @@
     return error.failed();
   }
 
-  // Sends until the link works; a link in backoff refuses at once.
+  // Retries until the send succeeds; a link in backoff rejects it at once.
   static bool SendEventually(Node& node,
                              const std::string& peer,
                              std::int64_t id) {
     return Eventually([&] { return node.Send(peer, MakeMessage(id)).is_ok(); });
   }
 
-  // The connection is refused either before the message is queued, which the
-  // send then says, or after it. The loss is reported in both cases.
+  // The connection may be refused before the message is queued, so that the
+  // send fails, or after that. The loss is reported in both cases.
   static void ExpectRefusedConnection(Node& node, const std::string& peer) {
     const base::Status status = node.Send(peer, MakeMessage(1));
     if (!status.is_ok()) {
@@ -183,7 +184,7 @@
   wire::TargetsBody body;
   body.body = std::string(std::size_t{100} * 1024, 'x');
   base::Status status = base::Done{};
-  // The kernel's buffers take a few megabytes before the queue fills.
+  // The kernel buffers a few megabytes before the queue fills up.
   constexpr int kMaxSends = 10000;
   for (int i = 0; i < kMaxSends && status.is_ok(); ++i) {
     status = a.Send("deaf", body);
@@ -199,7 +200,8 @@
   a.SetMember("frozen", AddressOf(frozen));
   ASSERT_TRUE(a.Send("frozen", MakeMessage(1)).is_ok());
   tcp::socket accepted = frozen.accept();
-  // Pruning compares with the view it saw last: that must be this one.
+  // Pruning compares the view with the one it saw last, so it must have seen a
+  // view with the member before the view without it.
   ASSERT_TRUE(Eventually([&] {
     a.SetMember("frozen", "");
     a.SetMember("frozen", AddressOf(frozen));
@@ -225,7 +227,7 @@
   EXPECT_TRUE(Eventually([&] { return !a.lost().empty(); }));
 
   ASSERT_TRUE(Eventually([&] {
-    // Refused sends are part of it: the link is in backoff at first.
+    // Sends may fail at first, while the link is in backoff.
     const bool is_sent = older.Send("a", MakeMessage(3)).is_ok();
     return is_sent && !older.received().empty();
   }));
