--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -155,7 +155,7 @@
   newest_incarnations_.erase(peer);
 }
 
-std::vector<ConnectionPointer> LinkTable::Shut() {
+std::vector<ConnectionPointer> LinkTable::CloseToNewLinks() {
   const std::lock_guard lock(mutex_);
   is_shut_ = true;
   std::vector<ConnectionPointer> links(replaced_.begin(), replaced_.end());
--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -74,7 +74,7 @@
   void Forget(const std::string& peer);
 
   // Rejects new links from now on and returns all that are open.
-  std::vector<ConnectionPointer> Shut();
+  std::vector<ConnectionPointer> CloseToNewLinks();
   // Blocks until all links are removed; returns false after `timeout`.
   bool WaitUntilEmpty(base::Duration timeout);
 
--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -333,7 +333,7 @@
   }
   const base::Error reason = base::MakeError(
       ErrorCode::kStopping, Step::kStop, "", "this daemon is shutting down");
-  const auto links = links_.Shut();
+  const auto links = links_.CloseToNewLinks();
   for (const ConnectionPointer& link : links) {
     link->CloseAfterFlush(reason);
   }
