--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -27,7 +27,7 @@
     const std::string& address,
     const std::function<ConnectionPointer()>& connect) {
   const std::lock_guard lock(mutex_);
-  if (is_shut_) {
+  if (is_closed_) {
     return base::MakeError(ErrorCode::kStopping, Step::kPeerLink, peer,
                            "peer links are closed");
   }
@@ -59,7 +59,7 @@
 
 bool LinkTable::AddIncoming(const ConnectionPointer& connection) {
   const std::lock_guard lock(mutex_);
-  if (is_shut_) {
+  if (is_closed_) {
     return false;
   }
   incoming_[connection.get()].connection = connection;
@@ -157,7 +157,7 @@
 
 std::vector<ConnectionPointer> LinkTable::CloseToNewLinks() {
   const std::lock_guard lock(mutex_);
-  is_shut_ = true;
+  is_closed_ = true;
   std::vector<ConnectionPointer> links(replaced_.begin(), replaced_.end());
   for (const auto& [name, peer] : outgoing_) {
     if (peer.connection) {
--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -103,7 +103,7 @@
 
   mutable std::mutex mutex_;
   std::condition_variable did_remove_;
-  bool is_shut_ = false;
+  bool is_closed_ = false;
   std::map<std::string, Peer> outgoing_;
   std::map<const Connection*, Incoming> incoming_;
   // Outgoing connections that were replaced and have not finished closing.
