--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -90,7 +90,7 @@
   return result;
 }
 
-void LinkTable::NoteFailure(Peer& peer) {
+void LinkTable::RecordFailure(Peer& peer) {
   const int doublings = std::min(peer.failures++, kMaxBackoffDoublings);
   const auto longest =
       std::min(backoff_.maximum, backoff_.initial * (1 << doublings));
@@ -122,7 +122,7 @@
         entry->second.failures = 0;
       }
       if (is_failure) {
-        NoteFailure(entry->second);
+        RecordFailure(entry->second);
       }
     }
   }
--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -95,7 +95,7 @@
     Sender sender;
   };
 
-  void NoteFailure(Peer& peer);
+  void RecordFailure(Peer& peer);
 
   const BackoffSettings backoff_;
   const base::Clock clock_;
