--- a/src/peer/codec.cc
+++ b/src/peer/codec.cc
@@ -24,7 +24,7 @@
 constexpr int kBitsPerByte = 8;
 
 // Visitor that moves a Message into the matching field of the envelope.
-struct FillEnvelope {
+struct EnvelopeFiller {
   wire::Envelope& envelope;
 
   void operator()(wire::Heartbeat& message) {
@@ -132,7 +132,7 @@
   wire::Envelope envelope;
   envelope.sender = self_.name;
   envelope.sender_incarnation = self_.incarnation;
-  std::visit(FillEnvelope{envelope}, message);
+  std::visit(EnvelopeFiller{envelope}, message);
   auto buffer = std::make_shared<TMemoryBuffer>();
   TCompactProtocolT<TMemoryBuffer> protocol(buffer);
   envelope.write(&protocol);
