--- a/src/peer/codec.cc
+++ b/src/peer/codec.cc
@@ -62,7 +62,7 @@
 };
 
 // Extracts the message of an envelope and counts how many are set.
-class MessagePicker {
+class MessageExtractor {
  public:
   template <typename T>
   void Offer(bool is_set, T& message) {
@@ -85,7 +85,7 @@
 };
 
 std::optional<Message> TakeMessage(wire::Envelope& envelope) {
-  MessagePicker picker;
+  MessageExtractor picker;
   const auto& is_set = envelope.__isset;
   picker.Offer(is_set.heartbeat, envelope.heartbeat);
   picker.Offer(is_set.sub_query, envelope.sub_query);
