--- a/src/peer/codec.cc
+++ b/src/peer/codec.cc
@@ -65,10 +65,10 @@
 class MessageExtractor {
  public:
   template <typename T>
-  void Offer(bool is_set, T& message) {
+  void Add(bool is_set, T& message) {
     if (is_set) {
       ++count_;
-      picked_ = std::move(message);
+      message_ = std::move(message);
     }
   }
 
@@ -76,26 +76,26 @@
     if (count_ != 1) {
       return std::nullopt;
     }
-    return std::move(picked_);
+    return std::move(message_);
   }
 
  private:
   int count_ = 0;
-  Message picked_;
+  Message message_;
 };
 
 std::optional<Message> TakeMessage(wire::Envelope& envelope) {
-  MessageExtractor picker;
+  MessageExtractor extractor;
   const auto& is_set = envelope.__isset;
-  picker.Offer(is_set.heartbeat, envelope.heartbeat);
-  picker.Offer(is_set.sub_query, envelope.sub_query);
-  picker.Offer(is_set.shard_reply, envelope.shard_reply);
-  picker.Offer(is_set.cancel_sub_query, envelope.cancel_sub_query);
-  picker.Offer(is_set.targets_request, envelope.targets_request);
-  picker.Offer(is_set.targets_body, envelope.targets_body);
-  picker.Offer(is_set.claim_request, envelope.claim_request);
-  picker.Offer(is_set.claim_reply, envelope.claim_reply);
-  return picker.Take();
+  extractor.Add(is_set.heartbeat, envelope.heartbeat);
+  extractor.Add(is_set.sub_query, envelope.sub_query);
+  extractor.Add(is_set.shard_reply, envelope.shard_reply);
+  extractor.Add(is_set.cancel_sub_query, envelope.cancel_sub_query);
+  extractor.Add(is_set.targets_request, envelope.targets_request);
+  extractor.Add(is_set.targets_body, envelope.targets_body);
+  extractor.Add(is_set.claim_request, envelope.claim_request);
+  extractor.Add(is_set.claim_reply, envelope.claim_reply);
+  return extractor.Take();
 }
 
 void AppendHeader(std::size_t length, std::string& frame) {
