--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -146,7 +146,7 @@
   return links;
 }
 
-void LinkTable::Forget(const std::string& peer) {
+void LinkTable::DiscardPeer(const std::string& peer) {
   const std::lock_guard lock(mutex_);
   const auto entry = outgoing_.find(peer);
   if (entry != outgoing_.end() && !entry->second.connection) {
--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -71,7 +71,7 @@
 
   // Discards the state of a peer that was removed from the fleet. Links that
   // are still open stay in the table.
-  void Forget(const std::string& peer);
+  void DiscardPeer(const std::string& peer);
 
   // Rejects new links from now on and returns all that are open.
   std::vector<ConnectionPointer> CloseToNewLinks();
--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -318,7 +318,7 @@
   for (const auto* table : {&previous.members, &previous.absent}) {
     for (const auto& [name, member] : *table) {
       if (!current.members.contains(name) && !current.absent.contains(name)) {
-        links_.Forget(name);
+        links_.DiscardPeer(name);
       }
     }
   }
