--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -76,8 +76,8 @@
   void DidClose(Connection& connection, const base::Error& reason);
   void SchedulePrune();
   void Prune();
-  void ForgetPeers(const blackboard::MembershipView& previous,
-                   const blackboard::MembershipView& current);
+  void DiscardRemovedPeers(const blackboard::MembershipView& previous,
+                           const blackboard::MembershipView& current);
 
   const PeerNetworkSettings settings_;
   boost::asio::io_context& traffic_;
@@ -309,12 +309,13 @@
                                   name, "no longer a member"));
     }
   }
-  ForgetPeers(*previous, *view);
+  DiscardRemovedPeers(*previous, *view);
 }
 
 // A peer that is no longer a member or absent was removed permanently.
-void PeerNetwork::Impl::ForgetPeers(const blackboard::MembershipView& previous,
-                                    const blackboard::MembershipView& current) {
+void PeerNetwork::Impl::DiscardRemovedPeers(
+    const blackboard::MembershipView& previous,
+    const blackboard::MembershipView& current) {
   for (const auto* table : {&previous.members, &previous.absent}) {
     for (const auto& [name, member] : *table) {
       if (!current.members.contains(name) && !current.absent.contains(name)) {
