--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -66,7 +66,7 @@
   return true;
 }
 
-LinkTable::Identification LinkTable::Identify(
+LinkTable::Identification LinkTable::RecordSender(
     const ConnectionPointer& connection,
     const Sender& sender) {
   const std::lock_guard lock(mutex_);
--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -59,8 +59,8 @@
     // Links of older incarnations, to be closed.
     std::vector<ConnectionPointer> outdated;
   };
-  Identification Identify(const ConnectionPointer& connection,
-                          const Sender& sender);
+  Identification RecordSender(const ConnectionPointer& connection,
+                              const Sender& sender);
 
   // Removes a closed link. Returns the name of its peer, or an empty string for
   // an incoming link that never received a message.
--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -235,7 +235,8 @@
   const Sender& sender = received.value().sender;
   received_.Add(received.value().message.index(),
                 kFrameHeaderBytes + envelope.size());
-  const auto identity = links_.Identify(connection.shared_from_this(), sender);
+  const auto identity =
+      links_.RecordSender(connection.shared_from_this(), sender);
   for (const ConnectionPointer& outdated : identity.outdated) {
     outdated->Close(base::MakeError(ErrorCode::kConnectionLost, Step::kPeerLink,
                                     sender.name, "older incarnation"));
