--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -66,7 +66,7 @@
   return true;
 }
 
-LinkTable::Identification LinkTable::RecordSender(
+LinkTable::SenderUpdate LinkTable::RecordSender(
     const ConnectionPointer& connection,
     const Sender& sender) {
   const std::lock_guard lock(mutex_);
@@ -77,7 +77,7 @@
   std::int64_t& newest = newest_incarnations_[sender.name];
   const bool is_newer = sender.incarnation > newest;
   newest = std::max(newest, sender.incarnation);
-  Identification result{.newest_incarnation = newest, .outdated = {}};
+  SenderUpdate result{.newest_incarnation = newest, .outdated = {}};
   if (!is_newer) {
     return result;
   }
--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -53,14 +53,14 @@
   bool AddIncoming(const ConnectionPointer& connection);
 
   // The result of recording the sender of an envelope.
-  struct Identification {
+  struct SenderUpdate {
     // The highest incarnation of the sender seen so far, this one included.
     std::int64_t newest_incarnation = 0;
     // Links of older incarnations, to be closed.
     std::vector<ConnectionPointer> outdated;
   };
-  Identification RecordSender(const ConnectionPointer& connection,
-                              const Sender& sender);
+  SenderUpdate RecordSender(const ConnectionPointer& connection,
+                            const Sender& sender);
 
   // Removes a closed link. Returns the name of its peer, or an empty string for
   // an incoming link that never received a message.
