--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -70,7 +70,7 @@
                             const tcp::endpoint& endpoint);
   void DidAccept(Connection::Socket socket);
   base::Status DidRead(Connection& connection, std::string_view envelope);
-  void RefuseOutdated(Connection& connection,
+  void RejectOutdated(Connection& connection,
                       const Sender& sender,
                       std::int64_t newest_incarnation);
   void DidClose(Connection& connection, const base::Error& reason);
@@ -242,14 +242,14 @@
                                     sender.name, "older incarnation"));
   }
   if (sender.incarnation < identity.newest_incarnation) {
-    RefuseOutdated(connection, sender, identity.newest_incarnation);
+    RejectOutdated(connection, sender, identity.newest_incarnation);
     return base::Done{};
   }
   did_receive_(sender, std::move(received.value().message));
   return base::Done{};
 }
 
-void PeerNetwork::Impl::RefuseOutdated(Connection& connection,
+void PeerNetwork::Impl::RejectOutdated(Connection& connection,
                                        const Sender& sender,
                                        std::int64_t newest_incarnation) {
   const base::Error reason = base::MakeError(
