--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -23,7 +23,7 @@
 
 // Protocol errors are logged as warnings because an operator must look into
 // them. Lost connections are routine.
-base::LogLevel LevelOf(const base::Error& reason) {
+base::LogLevel LogLevelFor(const base::Error& reason) {
   const bool is_fault = reason.code == ErrorCode::kMalformed ||
                         reason.code == ErrorCode::kTooLarge ||
                         reason.code == ErrorCode::kConflict;
@@ -275,7 +275,7 @@
   const bool is_failure = reason.code != ErrorCode::kStopping;
   const std::string peer = links_.Remove(connection, is_failure);
   if (is_failure) {
-    log_.Write({.level = LevelOf(reason),
+    log_.Write({.level = LogLevelFor(reason),
                 .step = reason.step,
                 .peer = peer.empty() ? reason.peer : peer,
                 .message = "link closed: " + reason.ToString()});
