--- a/tests/peer/peer_network_test.cc
+++ b/tests/peer/peer_network_test.cc
@@ -244,13 +244,13 @@
 TEST_F(PeerNetworkTest, PeerWithANewAddressGetsANewLink) {
   Node a(traffic_, SettingsOf("a", 1));
   Node old_node(traffic_, SettingsOf("b", 1));
-  Node new_place(traffic_, SettingsOf("b", 2));
+  Node new_node(traffic_, SettingsOf("b", 2));
   a.SetMember("b", old_node.address());
   ASSERT_TRUE(a.Send("b", MakeMessage(1)).is_ok());
   ASSERT_TRUE(Eventually([&] { return old_node.received().size() == 1; }));
-  a.SetMember("b", new_place.address());
+  a.SetMember("b", new_node.address());
   ASSERT_TRUE(SendEventually(a, "b", 2));
-  ASSERT_TRUE(Eventually([&] { return new_place.received().size() == 1; }));
+  ASSERT_TRUE(Eventually([&] { return new_node.received().size() == 1; }));
   EXPECT_TRUE(Eventually([&] { return !old_node.lost().empty(); }));
   EXPECT_EQ(old_node.received().size(), 1U);
 }
