--- a/src/peer/link_table.h
+++ b/src/peer/link_table.h
@@ -49,7 +49,7 @@
       const std::string& address,
       const std::function<ConnectionPointer()>& connect);
 
-  // Adds an accepted connection. Returns false if the table is shut.
+  // Adds an accepted connection. Returns false after CloseToNewLinks().
   bool AddIncoming(const ConnectionPointer& connection);
 
   // The result of recording the sender of an envelope.
