--- a/src/daemon/store_controllers.h
+++ b/src/daemon/store_controllers.h
@@ -51,7 +51,7 @@
   quarantine::VerdictController& verdicts() { return *verdicts_; }
 
  private:
-  // The store was restored from an older copy, so what this daemon wrote to it
+  // The store was restored from a backup, so what this daemon wrote to it
   // may be lost.
   void DidRestoreStore();
   void DidChange(const std::vector<store::Event>& events);
