--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -1,4 +1,4 @@
-// The state of one caller's connection.
+// Reads, parses and answers the requests of one connection.
 
 #include "src/http1/caller_connection.h"
 
@@ -17,13 +17,14 @@
 namespace http = boost::beast::http;
 
 constexpr std::size_t kReadBytes = 4096;
-// Requests that a caller may send ahead while one is in work. Above it the
-// connection is not read on, and a close is noticed later.
+// Limit on buffered bytes of pipelined requests. Above it the connection is not
+// read, so that a disconnect is detected only later.
 constexpr std::size_t kMostBytesAhead = 64 << 10;
-// How long a caller's host may be silent while bytes for it wait.
+// How long bytes sent to a caller may stay unacknowledged before the connection
+// is closed.
 constexpr base::Duration kSilence = base::Milliseconds(4'000);
-// Callers may use a connection until its idle time is over; what they sent
-// last must still find it open.
+// Added to the idle timeout: callers may send a request until the timeout ends,
+// and the connection must still be open when the request arrives.
 constexpr base::Duration kIdleMargin = base::Milliseconds(1'000);
 
 Response MakeEmpty(Status status) {
@@ -165,7 +166,7 @@
                         [self = shared_from_this(), number](Response response) {
                           self->DidRespond(number, std::move(response));
                         });
-  // The handler may have answered already.
+  // The handler may already have responded.
   if (state_ == State::kWorking && number == request_) {
     abandon_ = std::move(abandon);
   }
@@ -196,8 +197,8 @@
 
 void CallerConnection::Write(Response response, bool should_close) {
   state_ = State::kWriting;
-  // NOTE: the answer of a leaf to HEAD names a length without a body; the
-  // serializer would wait for that body.
+  // NOTE: a leaf's response to HEAD has a Content-Length but no body. Only the
+  // header is written then, because the serializer would wait for the body.
   auto message = std::make_shared<Response>(std::move(response));
   message->keep_alive(!should_close);
   auto serializer =
--- a/src/http1/caller_connection.h
+++ b/src/http1/caller_connection.h
@@ -1,10 +1,10 @@
-// One connection of a caller.
+// The server side of one HTTP/1.1 connection.
 //
-// It reads all the time, also while a request is in work, so that a caller
-// that leaves is noticed at once and its work is given up. Requests that a
-// caller sends ahead wait in the buffer and are served one after the other.
+// It keeps a read pending even while a request is being processed, so that a
+// disconnect is detected at once and the request is abandoned. Pipelined
+// requests wait in the buffer and are served one after the other.
 //
-// All calls and callbacks are on the thread of the executor.
+// All calls and callbacks run on the thread of the socket's executor.
 
 #ifndef MEDLARSPREAD_HTTP1_CALLER_CONNECTION_H_
 #define MEDLARSPREAD_HTTP1_CALLER_CONNECTION_H_
@@ -22,20 +22,21 @@
 
 namespace medlarspread::http1 {
 
-// Answers the request; called once, and ignored when the caller has left.
+// Sends the response. Call once; ignored if the caller has disconnected.
 using Respond = std::function<void(Response)>;
-// Gives the work on a request up; called at most once, instead of an answer.
+// Cancels the processing of a request whose caller has disconnected. Called at
+// most once, instead of a response.
 using Abandon = std::function<void()>;
-// Starts the work on a request.
+// Starts processing a request and returns how to cancel it.
 using HandleRequest = std::function<Abandon(Request, Respond)>;
 
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   struct Settings {
-    // Read anew for each request, since the configuration may change them.
+    // Called for each request, because the limits may change at run time.
     std::function<MessageLimits()> limits;
     HandleRequest handle;
-    // Whether each answer asks the caller to close the connection.
+    // Whether to close the connection after the next response.
     std::function<bool()> should_close;
     std::function<void(CallerConnection&)> did_close;
   };
@@ -45,13 +46,14 @@
                    base::Clock clock);
 
   void Start();
-  // Closes the connection if its caller has waited or stayed idle for too
-  // long; called now and then.
+  // Ends the connection if a request header takes too long to arrive or the
+  // connection is idle for too long. Must be called periodically.
   void CheckTimeouts();
-  // Closes the connection unless a request of it is being read or in work.
+  // Closes the connection unless a request is being received or processed.
   void CloseIfIdle();
 
-  // Ends the connection at once; a request in work is abandoned.
+  // Closes the connection at once. The request being processed continues, but
+  // its response is dropped.
   void Close();
 
   bool is_in_work() const { return state_ != State::kReading; }
@@ -83,12 +85,12 @@
   State state_ = State::kReading;
   bool is_closed_ = false;
   bool is_read_pending_ = false;
-  // The header of the request in the parser was answered with 100.
+  // Whether "100 Continue" was sent for the request in the parser.
   bool was_continued_ = false;
   bool is_keep_alive_ = true;
   bool is_head_ = false;
-  // Counts requests, so that a late answer to an earlier one is not taken for
-  // the answer to this one.
+  // The number of the current request, so that a late response to an earlier
+  // request is not sent as the response to this one.
   std::uint64_t request_ = 0;
   Abandon abandon_;
   base::MonotonicTime last_activity_;
--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -1,4 +1,4 @@
-// The acceptor and the timeouts of callers' connections.
+// The accept loop and the periodic check of the connections' timeouts.
 
 #include "src/http1/caller_listener.h"
 
@@ -14,9 +14,10 @@
 
 using boost::asio::ip::tcp;
 
-// How often timeouts are looked at; they are seconds long.
+// How often timeouts are checked. The timeouts themselves are seconds long.
 constexpr auto kSweepInterval = std::chrono::milliseconds(500);
-// After an accept that failed for want of descriptors.
+// Delay after a failed accept, which is mostly due to a lack of file
+// descriptors.
 constexpr auto kAcceptPause = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -24,7 +25,8 @@
 base::Result<tcp::endpoint> ParseEndpoint(const std::string& address) {
   const auto invalid = [&address] {
     return base::MakeError(base::ErrorCode::kInvalidArgument,
-                           base::Step::kListen, address, "not ip:port");
+                           base::Step::kListen, address,
+                           "not an ip:port address");
   };
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) {
--- a/src/http1/caller_listener.h
+++ b/src/http1/caller_listener.h
@@ -1,4 +1,4 @@
-// Accepts the connections of callers and keeps them until they close.
+// Accepts HTTP/1.1 connections and owns them until they are closed.
 
 #ifndef MEDLARSPREAD_HTTP1_CALLER_LISTENER_H_
 #define MEDLARSPREAD_HTTP1_CALLER_LISTENER_H_
@@ -17,7 +17,7 @@
 
 namespace medlarspread::http1 {
 
-// "ip:port" as an endpoint; kInvalidArgument if it is none.
+// Parses "ip:port". Errors: kInvalidArgument.
 base::Result<boost::asio::ip::tcp::endpoint> ParseEndpoint(
     const std::string& address);
 
@@ -27,8 +27,9 @@
     std::string address;
     std::function<MessageLimits()> limits;
     HandleRequest handle;
-    // Connections open at once; one more is closed unread, which callers may
-    // take as "not run". It bounds memory and descriptors.
+    // Limit on open connections, which bounds memory and file descriptors. A
+    // further connection is closed before anything is read from it, so callers
+    // know that their request was not executed.
     std::size_t most_connections = 2'000;
   };
 
@@ -36,21 +37,21 @@
                  Settings settings,
                  base::Clock clock);
 
-  // Fails if the address can't be had.
+  // Errors: kInvalidArgument, kUnavailable (the address can't be bound).
   base::Status Open();
-  // From now on each answer closes its connection.
+  // Closes each connection after its next response from now on.
   void StartDraining() { is_draining_ = true; }
-  // Accepts no more, and closes connections without a request.
+  // Stops accepting connections and closes those without a request.
   void StopAccepting();
-  // Closes the connections on which no request is being read or in work.
+  // Closes the connections on which no request is being received or processed.
   void CloseIdle();
-  // Ends every connection at once, as the end of the process would.
+  // Closes every connection at once, as the exit of the process would.
   void CloseAll();
 
   std::size_t connections() const { return connections_.size(); }
-  // Requests in work or being answered.
+  // Requests being processed or answered.
   std::size_t in_work() const;
-  // The port, also when the address left the choice to the system.
+  // The actual port, also if the address has port 0.
   std::uint16_t port() const;
 
  private:
--- a/src/http1/client_connection.cc
+++ b/src/http1/client_connection.cc
@@ -1,4 +1,4 @@
-// The state of one outgoing connection.
+// Connects, writes requests and parses responses.
 
 #include "src/http1/client_connection.h"
 
@@ -19,8 +19,9 @@
 using base::Step;
 
 constexpr std::size_t kReadBytes = 4096;
-// The peer's clock for idle connections starts when its answer leaves, and it
-// closes on the second: what is left of the time it names is not used up.
+// Subtracted from the peer's keep-alive timeout: the peer's timer starts when
+// it sends the response, and it closes the connection right at the timeout, so
+// a request sent shortly before that could be lost.
 constexpr base::Duration kKeepAliveMargin = base::Milliseconds(700);
 
 // The value of `timeout=` in a Keep-Alive field, in whole seconds.
@@ -91,7 +92,7 @@
   connect_timer_.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
         if (!error && !self->is_open_ && !self->is_closed_) {
-          self->Fail(ErrorCode::kUnreachable, "connecting took too long");
+          self->Fail(ErrorCode::kUnreachable, "connect timed out");
           self->Close();
         }
       });
@@ -163,8 +164,8 @@
     return;
   }
   if (!exchange_) {
-    // Bytes that answer nothing: whatever follows can't be told apart from
-    // the answer to the next request.
+    // Bytes without a request. What follows them could be mistaken for the
+    // response to the next request.
     Close();
     return;
   }
@@ -211,8 +212,8 @@
     StartParser();
     return;
   }
-  // NOTE: bytes behind the answer belong to no request, and the next answer on
-  // this connection could not be told from them.
+  // NOTE: bytes after the response belong to no request and could be mistaken
+  // for the next response on this connection.
   should_close_ =
       !response.keep_alive() || response.need_eof() || buffer_.size() > 0;
   NoteKeepAlive(response);
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -1,19 +1,20 @@
-// One outgoing connection, which carries one exchange at a time.
+// One outgoing HTTP/1.1 connection, which carries one exchange (a request and
+// its response) at a time.
 //
-// Unlike the house's HTTP library, it never sends a request twice by itself,
-// reads all the time so that a close or stray bytes are noticed when they
-// arrive, and tells an answer that ended with its connection from one that was
-// cut.
+// Unlike the client of the HTTP library that src/http wraps, it never resends a
+// request by itself, keeps a read pending so that a close or unexpected bytes
+// are detected when they arrive, and tells a response that is delimited by the
+// end of the connection from a truncated one.
 //
 // Steps of an exchange:
-//   1. connect, unless the connection is open;
-//   2. write the request;
-//   3. read answers until one belongs to the request (`IsMine`); others are
-//      dropped;
-//   4. report it once; keep the connection if both sides allow that and every
-//      byte of the request has left.
+//   1. Connect, unless the connection is open.
+//   2. Write the request.
+//   3. Read responses until one belongs to the request (`is_mine`); others are
+//      discarded.
+//   4. Report the response once. Keep the connection if both sides allow it and
+//      the whole request has been written.
 //
-// All calls and callbacks are on the thread of the executor.
+// All calls and callbacks run on the thread of the socket's executor.
 
 #ifndef MEDLARSPREAD_HTTP1_CLIENT_CONNECTION_H_
 #define MEDLARSPREAD_HTTP1_CLIENT_CONNECTION_H_
@@ -36,7 +37,7 @@
 
 namespace medlarspread::http1 {
 
-// How an exchange ended without an answer.
+// Why an exchange ended without a response.
 struct ExchangeFailure {
   base::Error error;
   // Whether a byte of the request may have reached the peer.
@@ -46,13 +47,12 @@
 using ExchangeResult = std::variant<Response, ExchangeFailure>;
 
 struct Exchange {
-  // The request; it must stay unchanged until the exchange has ended, but for
-  // what `will_write` does.
+  // Only `will_write` may modify the request until the exchange has ended.
   std::shared_ptr<Request> request;
-  // Called once the connection is open, right before the request leaves, for
-  // what depends on the time; may be empty. Opening may take most of a second.
+  // Called right before the request is written, to set fields that depend on
+  // the time: connecting first may take most of a second. May be empty.
   std::function<void(Request&)> will_write;
-  // Whether an answer belongs to this request and not to an earlier one.
+  // Whether a response belongs to this request and not to an earlier one.
   std::function<bool(const Response&)> is_mine;
   // Called once.
   std::function<void(ExchangeResult)> done;
@@ -63,30 +63,31 @@
   struct Settings {
     boost::asio::ip::tcp::endpoint peer;
     base::Duration connect_timeout = base::Milliseconds(1'000);
-    // After so much silence of the peer's host the connection is given up.
+    // The connection is closed if the peer's host sends nothing, not even
+    // acknowledgements, for this long; see SetSocketOptions().
     base::Duration silence = base::Milliseconds(2'000);
-    // The largest answer taken.
+    // Limit on the size of a response body.
     std::size_t max_body_bytes = 16 << 20;
-    // Called when the connection became free or closed.
+    // Called when the connection becomes free or is closed.
     std::function<void(ClientConnection&)> did_change;
   };
 
   ClientConnection(boost::asio::io_context& context, Settings settings);
 
-  // Connects without an exchange, so that the next one finds it open.
+  // Connects without an exchange, so that the next one needn't wait for that.
   void Prepare();
-  // Starts an exchange; only while the connection is free.
+  // Starts an exchange. The connection must be free.
   void Start(Exchange exchange);
-  // Gives the exchange up and closes the connection; `done` is not called.
+  // Cancels the exchange and closes the connection; `done` is not called.
   void Abort();
-  // Closes the connection. A running exchange fails.
+  // Closes the connection. An exchange in progress fails.
   void Close();
 
   bool is_free() const { return !exchange_ && !is_closed_ && !is_writing_; }
   bool is_open() const { return is_open_ && !is_closed_; }
   bool is_closed() const { return is_closed_; }
-  // Until when the peer keeps the connection open without a request, as far
-  // as it said so.
+  // Until when the peer keeps an idle connection open, if its last response had
+  // a Keep-Alive field.
   std::optional<base::MonotonicTime> idle_until() const { return idle_until_; }
 
  private:
@@ -115,12 +116,12 @@
   std::unique_ptr<Parser> parser_;
   std::optional<Exchange> exchange_;
   bool is_connecting_ = false;
-  // Invariant: an open connection always has one read pending.
+  // Invariant: an open connection always has exactly one read pending.
   bool is_open_ = false;
   bool is_closed_ = false;
   bool is_writing_ = false;
   bool was_sent_ = false;
-  // The peer said that it closes after this answer.
+  // Whether the connection can't be reused after this response.
   bool should_close_ = false;
   std::optional<base::MonotonicTime> idle_until_;
 };
--- a/src/http1/message.cc
+++ b/src/http1/message.cc
@@ -1,4 +1,4 @@
-// The hop-by-hop fields of HTTP/1.1.
+// Knows the hop-by-hop fields of HTTP/1.1.
 
 #include "src/http1/message.h"
 
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -1,7 +1,7 @@
-// HTTP/1.1 messages as they travel through this system: opaque, byte for byte.
+// HTTP/1.1 messages that are forwarded without interpretation.
 //
-// The library's own message type is used as it is, because it keeps the
-// target, the order and the case of the header fields, and the body unchanged.
+// Uses Boost.Beast's message type, because it preserves the target, the order
+// and the case of the header fields, and the body.
 
 #ifndef MEDLARSPREAD_HTTP1_MESSAGE_H_
 #define MEDLARSPREAD_HTTP1_MESSAGE_H_
@@ -23,7 +23,7 @@
     boost::beast::http::response<boost::beast::http::string_body, Fields>;
 using Status = boost::beast::http::status;
 
-// What a caller may send, and how long it may take.
+// Limits on the size of requests and on the time they may take to arrive.
 struct MessageLimits {
   std::size_t header_bytes = 16 << 10;
   std::size_t body_bytes = 1 << 20;
@@ -33,8 +33,8 @@
   base::Duration idle_timeout = base::Milliseconds(15'000);
 };
 
-// Removes the fields that concern one connection only, those that a
-// `Connection` field names included. They are never passed on.
+// Removes the hop-by-hop fields, including those that a `Connection` field
+// names. They must not be forwarded.
 void RemoveConnectionFields(Fields& fields);
 
 }  // namespace medlarspread::http1
--- a/src/http1/port_check.cc
+++ b/src/http1/port_check.cc
@@ -1,4 +1,4 @@
-// One connection attempt against a timer.
+// One connection attempt with a timeout.
 
 #include "src/http1/port_check.h"
 
--- a/src/http1/port_check.h
+++ b/src/http1/port_check.h
@@ -1,4 +1,5 @@
-// Whether a process listens at an address: one connection, closed at once.
+// Checks whether a process listens at an address, by opening a connection and
+// closing it at once.
 
 #ifndef MEDLARSPREAD_HTTP1_PORT_CHECK_H_
 #define MEDLARSPREAD_HTTP1_PORT_CHECK_H_
@@ -14,11 +15,12 @@
 namespace medlarspread::http1 {
 
 enum class PortState {
-  // A connection was accepted.
+  // The host accepted the connection.
   kListening,
-  // The host refuses it: no process has the port.
+  // The host refused the connection: no process listens on the port.
   kRefused,
-  // Nothing came back in time, or the address can't be called.
+  // No reply before the timeout, or a failure other than a refused connection,
+  // such as an invalid address.
   kSilent,
 };
 
@@ -28,8 +30,8 @@
     {PortState::kSilent, "silent"},
 }}};
 
-// Calls back once, on the context's thread, never before it has returned.
-// `address` is "ip:port".
+// Calls `done` once on the context's thread, never before CheckPort() has
+// returned. `address` is "ip:port".
 void CheckPort(boost::asio::io_context& context,
                const std::string& address,
                base::Duration timeout,
--- a/src/http1/socket_options.cc
+++ b/src/http1/socket_options.cc
@@ -1,4 +1,4 @@
-// Nagle off, TCP_USER_TIMEOUT and keep-alive probes.
+// Sets TCP_NODELAY, TCP_USER_TIMEOUT and the keep-alive options.
 
 #include "src/http1/socket_options.h"
 
--- a/src/http1/socket_options.h
+++ b/src/http1/socket_options.h
@@ -1,4 +1,4 @@
-// Options of the sockets of callers, leaves and the store.
+// Options for the TCP sockets of callers, leaves and the store.
 
 #ifndef MEDLARSPREAD_HTTP1_SOCKET_OPTIONS_H_
 #define MEDLARSPREAD_HTTP1_SOCKET_OPTIONS_H_
@@ -9,11 +9,12 @@
 
 namespace medlarspread::http1 {
 
-// Sends small messages at once and finds a silent peer within about
-// `silence`: bytes that stay unacknowledged for that long end the connection,
-// and an idle connection is probed. Without it a connection into a partition
-// looks alive for minutes. Failures are ignored: the options are refinements,
-// and a socket that can't take them fails at its first use.
+// Disables Nagle's algorithm and makes the connection fail when the peer's host
+// has not responded for about `silence`: TCP_USER_TIMEOUT covers unacknowledged
+// data, keep-alive probes cover idle connections. Without this a connection
+// across a network partition seems to be open for minutes. Errors are ignored:
+// the options are not essential, and a broken socket fails at its first use
+// anyway.
 void SetSocketOptions(boost::asio::ip::tcp::socket& socket,
                       base::Duration silence);
 
--- a/src/http1/timed_exchange.cc
+++ b/src/http1/timed_exchange.cc
@@ -1,4 +1,4 @@
-// Whichever of response, failure and timer comes first.
+// Reports the response, the failure or the timeout, whichever comes first.
 
 #include "src/http1/timed_exchange.h"
 
@@ -15,7 +15,7 @@
     runner.Post([exchange = std::move(exchange)] {
       exchange.done(base::MakeError(base::ErrorCode::kInvalidArgument,
                                     exchange.step, exchange.peer,
-                                    "not ip:port"));
+                                    "not an ip:port address"));
     });
     return;
   }
@@ -33,7 +33,7 @@
       [connection, end, step = exchange.step, peer = exchange.peer] {
         connection->Abort();
         end(base::MakeError(base::ErrorCode::kTimeout, step, peer,
-                            "no answer in time"));
+                            "no response before the timeout"));
       });
   Exchange started;
   started.request = std::move(exchange.request);
--- a/src/http1/timed_exchange.h
+++ b/src/http1/timed_exchange.h
@@ -1,4 +1,4 @@
-// One request and its response on a connection, within a bound of time.
+// One request and its response on a connection, with a timeout.
 
 #ifndef MEDLARSPREAD_HTTP1_TIMED_EXCHANGE_H_
 #define MEDLARSPREAD_HTTP1_TIMED_EXCHANGE_H_
@@ -18,16 +18,17 @@
 struct TimedExchange {
   std::shared_ptr<Request> request;
   base::Duration timeout{};
-  // What errors carry: the step that the exchange belongs to, and the peer.
+  // The step and the peer that errors of this exchange name.
   base::Step step = base::Step::kPeerLink;
   std::string peer;
-  // Called once: with the response, kTimeout, or why the exchange failed.
+  // Called once with the response, kTimeout, or another error.
   std::function<void(base::Result<Response>)> done;
 };
 
-// Takes the next response on the connection for the request's; the connection
-// is given up when the time has passed. `connection` may be null, if the peer's
-// address is none: then `done` is told so, never inside the call.
+// Starts the exchange and accepts the next response on the connection as its
+// response. After the timeout the connection is closed. `connection` may be
+// null if the peer's address is invalid: then `done` gets kInvalidArgument, but
+// not before this function has returned.
 void Start(const std::shared_ptr<ClientConnection>& connection,
            const base::TaskRunner& runner,
            TimedExchange exchange);
--- a/tests/http1/caller_listener_test.cc
+++ b/tests/http1/caller_listener_test.cc
@@ -1,4 +1,5 @@
-// CallerListener against callers that leave, send ahead, or send too much.
+// CallerListener with callers that disconnect, pipeline requests or exceed
+// limits.
 
 #include "src/http1/caller_listener.h"
 
@@ -131,8 +132,8 @@
 
 TEST_F(CallerListenerTest, RefusesABodyOverTheLimit) {
   limits_.body_bytes = 10;
-  // The parser of a connection has the limits of its start; the second
-  // connection is made after the change.
+  // A connection's parser is created with the limits in force at that time, so
+  // the test needs a connection that is opened after the change.
   tcp::socket second(context_);
   second.connect({boost::asio::ip::address_v4::loopback(), listener_->port()});
   caller_ = std::move(second);
--- a/tests/http1/client_connection_test.cc
+++ b/tests/http1/client_connection_test.cc
@@ -1,5 +1,5 @@
-// ClientConnection against peers that answer well, late, too much, or not to
-// the end.
+// ClientConnection with peers that respond correctly, late, with extra bytes or
+// with a truncated response.
 
 #include "src/http1/client_connection.h"
 
@@ -33,7 +33,7 @@
         std::make_shared<ClientConnection>(context_, std::move(settings));
   }
 
-  // Sends a request with the identifier and runs until it has ended.
+  // Sends a request with the identifier and runs until the exchange ends.
   ExchangeResult Ask(const std::string& id) {
     auto request = std::make_shared<Request>(boost::beast::http::verb::get,
                                              "/a%2fb/..//c?y=+%20", 11);
--- a/tests/http1/message_test.cc
+++ b/tests/http1/message_test.cc
@@ -1,4 +1,4 @@
-// Which fields are left out when a message is passed on.
+// Hop-by-hop fields are removed before a message is forwarded.
 
 #include "src/http1/message.h"
 
--- a/tests/http1/port_check_test.cc
+++ b/tests/http1/port_check_test.cc
@@ -1,4 +1,4 @@
-// A port with a listener, without one, and one that nobody answers for.
+// A port with a listener, a port without one, and a host that doesn't respond.
 
 #include "src/http1/port_check.h"
 
@@ -14,7 +14,7 @@
 
 class PortCheckTest : public testing::Test {
  protected:
-  // How long a check may take here; only the silent one needs it.
+  // Only the check of a host that doesn't respond takes this long.
   static constexpr base::Duration kTimeout = base::Milliseconds(200);
 
   PortState Check(const std::string& address,
@@ -49,7 +49,7 @@
   EXPECT_EQ(Check(address), PortState::kRefused);
 }
 
-// Its queue of new connections is full: the host drops what it is sent.
+// The listener's accept queue is full, so the host drops connection requests.
 TEST_F(PortCheckTest, SilenceIsNoRefusal) {
   tcp::acceptor full(context_);
   full.open(tcp::v4());
--- a/tests/http1/timed_exchange_test.cc
+++ b/tests/http1/timed_exchange_test.cc
@@ -1,4 +1,5 @@
-// A request that is answered, not answered in time, or has nowhere to go.
+// An exchange with a response, with a timeout, with a failure and without a
+// connection.
 
 #include "src/http1/timed_exchange.h"
 
