--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kReadBytes = 4096;
 // Limit on buffered bytes of pipelined requests. Above it the connection is not
 // read, so that a disconnect is detected only later.
-constexpr std::size_t kMostBytesAhead = 64 << 10;
+constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
 // How long bytes sent to a caller may stay unacknowledged before the connection
 // is closed.
 constexpr base::Duration kSilence = base::Milliseconds(4'000);
@@ -73,7 +73,7 @@
 }
 
 void CallerConnection::Read() {
-  if (is_read_pending_ || is_closed_ || buffer_.size() > kMostBytesAhead) {
+  if (is_read_pending_ || is_closed_ || buffer_.size() > kMaxPipelinedBytes) {
     return;
   }
   is_read_pending_ = true;
