--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
 // How long bytes sent to a caller may stay unacknowledged before the connection
 // is closed.
-constexpr base::Duration kSilence = base::Milliseconds(4'000);
+constexpr base::Duration kSilenceTimeout = base::Milliseconds(4'000);
 // Added to the idle timeout: callers may send a request until the timeout ends,
 // and the connection must still be open when the request arrives.
 constexpr base::Duration kIdleMargin = base::Milliseconds(1'000);
@@ -44,7 +44,7 @@
       last_activity_(clock_.Now()) {}
 
 void CallerConnection::Start() {
-  SetSocketOptions(socket_, kSilence);
+  SetSocketOptions(socket_, kSilenceTimeout);
   StartParser();
   Read();
 }
