--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -93,7 +93,7 @@
   }
   buffer_.commit(size);
   if (error) {
-    DidLeave();
+    DidDisconnect();
     return;
   }
   last_activity_ = clock_.Now();
@@ -150,7 +150,7 @@
       [self = shared_from_this(), text](const boost::system::error_code& error,
                                         std::size_t) {
         if (error) {
-          self->DidLeave();
+          self->DidDisconnect();
         }
       });
 }
@@ -232,7 +232,7 @@
   Read();
 }
 
-void CallerConnection::DidLeave() {
+void CallerConnection::DidDisconnect() {
   if (auto abandon = std::exchange(abandon_, nullptr)) {
     abandon();
   }
--- a/src/http1/caller_connection.h
+++ b/src/http1/caller_connection.h
@@ -75,7 +75,7 @@
   void Refuse(Status status);
   void Write(Response response, bool should_close);
   void DidWrite(const boost::system::error_code& error, bool should_close);
-  void DidLeave();
+  void DidDisconnect();
 
   boost::asio::ip::tcp::socket socket_;
   const std::shared_ptr<const Settings> settings_;
