--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -109,7 +109,7 @@
   parser_->eager(true);
   parser_->header_limit(static_cast<std::uint32_t>(limits.header_bytes));
   parser_->body_limit(limits.body_bytes);
-  was_continued_ = false;
+  sent_continue_ = false;
 }
 
 void CallerConnection::Parse() {
@@ -137,12 +137,12 @@
 }
 
 void CallerConnection::ContinueIfAsked() {
-  if (was_continued_ || !parser_->is_header_done() ||
+  if (sent_continue_ || !parser_->is_header_done() ||
       !boost::beast::iequals(parser_->get()[http::field::expect],
                              "100-continue")) {
     return;
   }
-  was_continued_ = true;
+  sent_continue_ = true;
   auto text =
       std::make_shared<const std::string>("HTTP/1.1 100 Continue\r\n\r\n");
   boost::asio::async_write(
--- a/src/http1/caller_connection.h
+++ b/src/http1/caller_connection.h
@@ -86,7 +86,7 @@
   bool is_closed_ = false;
   bool is_read_pending_ = false;
   // Whether "100 Continue" was sent for the request in the parser.
-  bool was_continued_ = false;
+  bool sent_continue_ = false;
   bool is_keep_alive_ = true;
   bool is_head_ = false;
   // The number of the current request, so that a late response to an earlier
