--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -121,7 +121,7 @@
     const std::size_t used = parser_->put(buffer_.data(), error);
     buffer_.consume(used);
     if (error == http::error::need_more) {
-      ContinueIfAsked();
+      SendContinueIfExpected();
       return;
     }
     if (error) {
@@ -129,14 +129,14 @@
       return;
     }
     if (!parser_->is_done()) {
-      ContinueIfAsked();
+      SendContinueIfExpected();
       continue;
     }
     DidParse();
   }
 }
 
-void CallerConnection::ContinueIfAsked() {
+void CallerConnection::SendContinueIfExpected() {
   if (sent_continue_ || !parser_->is_header_done() ||
       !boost::beast::iequals(parser_->get()[http::field::expect],
                              "100-continue")) {
--- a/src/http1/caller_connection.h
+++ b/src/http1/caller_connection.h
@@ -68,7 +68,7 @@
   void DidRead(const boost::system::error_code& error, std::size_t size);
   void Parse();
   void StartParser();
-  void ContinueIfAsked();
+  void SendContinueIfExpected();
   void DidParse();
   void DidFailToParse(const boost::system::error_code& error);
   void DidRespond(std::uint64_t request, Response response);
