--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -57,7 +57,7 @@
   const base::MonotonicTime now = clock_.Now();
   const bool has_begun = parser_->got_some();
   if (has_begun && !parser_->is_header_done() &&
-      now - request_began_ > limits.header_timeout) {
+      now - request_start_ > limits.header_timeout) {
     Refuse(Status::request_timeout);
     return;
   }
@@ -115,7 +115,7 @@
 void CallerConnection::Parse() {
   while (state_ == State::kReading && buffer_.size() > 0 && !is_closed_) {
     if (!parser_->got_some()) {
-      request_began_ = clock_.Now();
+      request_start_ = clock_.Now();
     }
     boost::system::error_code error;
     const std::size_t used = parser_->put(buffer_.data(), error);
--- a/src/http1/caller_connection.h
+++ b/src/http1/caller_connection.h
@@ -95,7 +95,7 @@
   Abandon abandon_;
   base::MonotonicTime last_activity_;
   // When the first byte of the request in the parser arrived.
-  base::MonotonicTime request_began_;
+  base::MonotonicTime request_start_;
 };
 
 }  // namespace medlarspread::http1
