--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -143,7 +143,7 @@
 }
 
 void CallerListener::DidAccept(tcp::socket socket) {
-  if (connections_.size() >= settings_.most_connections) {
+  if (connections_.size() >= settings_.max_connections) {
     return;
   }
   auto connection = std::make_shared<CallerConnection>(
--- a/src/http1/caller_listener.h
+++ b/src/http1/caller_listener.h
@@ -30,7 +30,7 @@
     // Limit on open connections, which bounds memory and file descriptors. A
     // further connection is closed before anything is read from it, so callers
     // know that their request was not executed.
-    std::size_t most_connections = 2'000;
+    std::size_t max_connections = 2'000;
   };
 
   CallerListener(boost::asio::io_context& context,
