--- a/src/http1/caller_connection.h
+++ b/src/http1/caller_connection.h
@@ -56,7 +56,7 @@
   // its response is dropped.
   void Close();
 
-  bool is_in_work() const { return state_ != State::kReading; }
+  bool is_busy() const { return state_ != State::kReading; }
 
  private:
   using Parser =
--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -112,7 +112,7 @@
 std::size_t CallerListener::in_work() const {
   return static_cast<std::size_t>(std::count_if(
       connections_.begin(), connections_.end(),
-      [](const auto& connection) { return connection->is_in_work(); }));
+      [](const auto& connection) { return connection->is_busy(); }));
 }
 
 std::uint16_t CallerListener::port() const {
