--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -521,7 +521,8 @@
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kStop,
               .message = "stopped; cut off " +
-                         std::to_string(callers_->in_work()) + " requests"});
+                         std::to_string(callers_->requests_in_flight()) +
+                         " requests"});
   reports_->Stop();
   datagrams_->Close();
   traffic_context_.stop();
--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -109,7 +109,7 @@
   }
 }
 
-std::size_t CallerListener::in_work() const {
+std::size_t CallerListener::requests_in_flight() const {
   return static_cast<std::size_t>(std::count_if(
       connections_.begin(), connections_.end(),
       [](const auto& connection) { return connection->is_busy(); }));
--- a/src/http1/caller_listener.h
+++ b/src/http1/caller_listener.h
@@ -50,7 +50,7 @@
 
   std::size_t connections() const { return connections_.size(); }
   // Requests being processed or answered.
-  std::size_t in_work() const;
+  std::size_t requests_in_flight() const;
   // The actual port, also if the address has port 0.
   std::uint16_t port() const;
 
--- a/tests/http1/caller_listener_test.cc
+++ b/tests/http1/caller_listener_test.cc
@@ -157,7 +157,7 @@
   Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   RunUntil([this] { return requests_.size() == 1; });
   listener_->StopAccepting();
-  EXPECT_EQ(listener_->in_work(), 1U);
+  EXPECT_EQ(listener_->requests_in_flight(), 1U);
   Answer(0, "whole");
   RunUntil([this] { return has_received("whole"); });
 }
