--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -18,7 +18,7 @@
 constexpr auto kSweepInterval = std::chrono::milliseconds(500);
 // Delay after a failed accept, which is mostly due to a lack of file
 // descriptors.
-constexpr auto kAcceptPause = std::chrono::milliseconds(20);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -133,7 +133,7 @@
           return;
         }
         auto timer = std::make_shared<base::BootTimer>(self->context_);
-        timer->expires_after(kAcceptPause);
+        timer->expires_after(kAcceptRetryDelay);
         timer->async_wait([self, timer](const boost::system::error_code&) {
           if (self->acceptor_.is_open()) {
             self->Accept();
