--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -15,7 +15,7 @@
 using boost::asio::ip::tcp;
 
 // How often timeouts are checked. The timeouts themselves are seconds long.
-constexpr auto kSweepInterval = std::chrono::milliseconds(500);
+constexpr auto kTimeoutCheckInterval = std::chrono::milliseconds(500);
 // Delay after a failed accept, which is mostly due to a lack of file
 // descriptors.
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
@@ -153,7 +153,7 @@
 }
 
 void CallerListener::Sweep() {
-  sweep_timer_.expires_after(kSweepInterval);
+  sweep_timer_.expires_after(kTimeoutCheckInterval);
   sweep_timer_.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
         if (error) {
