--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -51,7 +51,7 @@
       settings_(std::move(settings)),
       clock_(std::move(clock)),
       acceptor_(context),
-      sweep_timer_(context) {}
+      timeout_check_timer_(context) {}
 
 base::Status CallerListener::Open() {
   const auto endpoint = ParseEndpoint(settings_.address);
@@ -153,8 +153,8 @@
 }
 
 void CallerListener::Sweep() {
-  sweep_timer_.expires_after(kTimeoutCheckInterval);
-  sweep_timer_.async_wait(
+  timeout_check_timer_.expires_after(kTimeoutCheckInterval);
+  timeout_check_timer_.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
         if (error) {
           return;
--- a/src/http1/caller_listener.h
+++ b/src/http1/caller_listener.h
@@ -63,7 +63,7 @@
   const Settings settings_;
   const base::Clock clock_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  base::BootTimer sweep_timer_;
+  base::BootTimer timeout_check_timer_;
   std::shared_ptr<const CallerConnection::Settings> connection_settings_;
   std::set<std::shared_ptr<CallerConnection>> connections_;
   bool is_draining_ = false;
