--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -83,7 +83,7 @@
   connection_settings_ =
       std::make_shared<const CallerConnection::Settings>(std::move(connection));
   Accept();
-  Sweep();
+  ScheduleTimeoutCheck();
   return base::Done{};
 }
 
@@ -152,7 +152,7 @@
   connection->Start();
 }
 
-void CallerListener::Sweep() {
+void CallerListener::ScheduleTimeoutCheck() {
   timeout_check_timer_.expires_after(kTimeoutCheckInterval);
   timeout_check_timer_.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
@@ -164,7 +164,7 @@
         for (const auto& connection : all) {
           connection->CheckTimeouts();
         }
-        self->Sweep();
+        self->ScheduleTimeoutCheck();
       });
 }
 
--- a/src/http1/caller_listener.h
+++ b/src/http1/caller_listener.h
@@ -57,7 +57,7 @@
  private:
   void Accept();
   void DidAccept(boost::asio::ip::tcp::socket socket);
-  void Sweep();
+  void ScheduleTimeoutCheck();
 
   boost::asio::io_context& context_;
   const Settings settings_;
