--- a/src/http1/client_connection.cc
+++ b/src/http1/client_connection.cc
@@ -208,7 +208,7 @@
   Response response = parser_->release();
   constexpr unsigned kFirstFinalStatus = 200;
   const bool is_interim = response.result_int() < kFirstFinalStatus;
-  if (is_interim || !exchange_->is_mine(response)) {
+  if (is_interim || !exchange_->matches(response)) {
     StartParser();
     return;
   }
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -9,7 +9,7 @@
 // Steps of an exchange:
 //   1. Connect, unless the connection is open.
 //   2. Write the request.
-//   3. Read responses until one belongs to the request (`is_mine`); others are
+//   3. Read responses until one belongs to the request (`matches`); others are
 //      discarded.
 //   4. Report the response once. Keep the connection if both sides allow it and
 //      the whole request has been written.
@@ -53,7 +53,7 @@
   // the time: connecting first may take most of a second. May be empty.
   std::function<void(Request&)> will_write;
   // Whether a response belongs to this request and not to an earlier one.
-  std::function<bool(const Response&)> is_mine;
+  std::function<bool(const Response&)> matches;
   // Called once.
   std::function<void(ExchangeResult)> done;
 };
--- a/src/http1/timed_exchange.cc
+++ b/src/http1/timed_exchange.cc
@@ -37,7 +37,7 @@
       });
   Exchange started;
   started.request = std::move(exchange.request);
-  started.is_mine = [](const Response&) { return true; };
+  started.matches = [](const Response&) { return true; };
   started.done = [end, step = exchange.step](ExchangeResult result) {
     std::visit(
         base::Overloaded{[&](Response& response) { end(std::move(response)); },
--- a/src/upstream/forward_client.cc
+++ b/src/upstream/forward_client.cc
@@ -147,7 +147,7 @@
     self->codec_.set_time_left(request,
                                std::max(base::Duration{}, time_left - waited));
   };
-  exchange.is_mine = [self = shared_from_this(),
+  exchange.matches = [self = shared_from_this(),
                       call](const http1::Response& response) {
     return self->codec_.is_mine(call, response);
   };
--- a/tests/http1/client_connection_test.cc
+++ b/tests/http1/client_connection_test.cc
@@ -41,7 +41,7 @@
     std::optional<ExchangeResult> result;
     Exchange exchange;
     exchange.request = request;
-    exchange.is_mine = [id](const Response& response) {
+    exchange.matches = [id](const Response& response) {
       const auto field = response.find("Id");
       return field == response.end() || field->value() == id;
     };
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -599,7 +599,7 @@
   request->set("Medlarspread-Deadline-Ms", "800");
   http1::Exchange exchange;
   exchange.request = request;
-  exchange.is_mine = [](const http1::Response&) { return true; };
+  exchange.matches = [](const http1::Response&) { return true; };
   exchange.done = [this, connection, again,
                    id](const http1::ExchangeResult& result) {
     const auto* response = std::get_if<http1::Response>(&result);
@@ -747,7 +747,7 @@
   request->set("Medlarspread-Deadline-Ms", "800");
   http1::Exchange exchange;
   exchange.request = request;
-  exchange.is_mine = [](const http1::Response&) { return true; };
+  exchange.matches = [](const http1::Response&) { return true; };
   exchange.done = [this, sent](http1::ExchangeResult result) {
     DidEnd(sent, std::move(result));
   };
