--- a/src/http1/client_connection.cc
+++ b/src/http1/client_connection.cc
@@ -115,7 +115,7 @@
     return;
   }
   is_open_ = true;
-  SetSocketOptions(socket_, settings_.silence);
+  SetSocketOptions(socket_, settings_.silence_timeout);
   Read();
   if (exchange_) {
     Write();
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -65,7 +65,7 @@
     base::Duration connect_timeout = base::Milliseconds(1'000);
     // The connection is closed if the peer's host sends nothing, not even
     // acknowledgements, for this long; see SetSocketOptions().
-    base::Duration silence = base::Milliseconds(2'000);
+    base::Duration silence_timeout = base::Milliseconds(2'000);
     // Limit on the size of a response body.
     std::size_t max_body_bytes = 16 << 20;
     // Called when the connection becomes free or is closed.
--- a/src/http1/socket_options.cc
+++ b/src/http1/socket_options.cc
@@ -22,12 +22,13 @@
 }  // namespace
 
 void SetSocketOptions(boost::asio::ip::tcp::socket& socket,
-                      base::Duration silence) {
+                      base::Duration silence_timeout) {
   using std::chrono::duration_cast;
   const int handle = socket.native_handle();
   const auto milliseconds =
-      duration_cast<std::chrono::milliseconds>(silence).count();
-  const auto seconds = duration_cast<std::chrono::seconds>(silence).count();
+      duration_cast<std::chrono::milliseconds>(silence_timeout).count();
+  const auto seconds =
+      duration_cast<std::chrono::seconds>(silence_timeout).count();
   const int interval = std::max<int>(1, static_cast<int>(seconds) / kProbes);
   SetInteger(handle, IPPROTO_TCP, TCP_NODELAY, 1);
   SetInteger(handle, IPPROTO_TCP, TCP_USER_TIMEOUT,
--- a/src/http1/socket_options.h
+++ b/src/http1/socket_options.h
@@ -10,13 +10,13 @@
 namespace medlarspread::http1 {
 
 // Disables Nagle's algorithm and makes the connection fail when the peer's host
-// has not responded for about `silence`: TCP_USER_TIMEOUT covers unacknowledged
-// data, keep-alive probes cover idle connections. Without this a connection
-// across a network partition seems to be open for minutes. Errors are ignored:
-// the options are not essential, and a broken socket fails at its first use
-// anyway.
+// has not responded for about `silence_timeout`: TCP_USER_TIMEOUT covers
+// unacknowledged data, keep-alive probes cover idle connections. Without this a
+// connection across a network partition seems to be open for minutes. Errors
+// are ignored: the options are not essential, and a broken socket fails at its
+// first use anyway.
 void SetSocketOptions(boost::asio::ip::tcp::socket& socket,
-                      base::Duration silence);
+                      base::Duration silence_timeout);
 
 }  // namespace medlarspread::http1
 
--- a/src/platform/store_calls.cc
+++ b/src/platform/store_calls.cc
@@ -188,7 +188,7 @@
   http1::ClientConnection::Settings settings;
   settings.peer = endpoint.value();
   settings.connect_timeout = settings_.timeout;
-  settings.silence = kSilence;
+  settings.silence_timeout = kSilence;
   settings.did_change =
       [self = weak_from_this()](http1::ClientConnection& connection) {
         const auto calls = self.lock();
--- a/src/upstream/forward_client.cc
+++ b/src/upstream/forward_client.cc
@@ -288,7 +288,7 @@
   ClientConnection::Settings settings;
   settings.peer = endpoint.value();
   settings.connect_timeout = kConnectTimeout;
-  settings.silence = kSilence;
+  settings.silence_timeout = kSilence;
   settings.did_change = [self = weak_from_this(),
                          leaf = upstream.name](ClientConnection& connection) {
     if (auto client = self.lock()) {
