--- a/src/http1/client_connection.cc
+++ b/src/http1/client_connection.cc
@@ -216,7 +216,7 @@
   // for the next response on this connection.
   should_close_ =
       !response.keep_alive() || response.need_eof() || buffer_.size() > 0;
-  NoteKeepAlive(response);
+  UpdateIdleUntil(response);
   Finish(std::move(response));
 }
 
@@ -234,7 +234,7 @@
   Close();
 }
 
-void ClientConnection::NoteKeepAlive(const Response& response) {
+void ClientConnection::UpdateIdleUntil(const Response& response) {
   idle_until_.reset();
   if (const auto seconds = KeepAliveSeconds(response)) {
     idle_until_ =
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -103,7 +103,7 @@
   void StartParser();
   void DidParse();
   void DidEnd(const boost::system::error_code& error);
-  void NoteKeepAlive(const Response& response);
+  void UpdateIdleUntil(const Response& response);
   void Fail(base::ErrorCode code, const std::string& detail);
   void Finish(ExchangeResult result);
   std::string peer_name() const;
