--- a/src/http1/client_connection.cc
+++ b/src/http1/client_connection.cc
@@ -48,7 +48,7 @@
       socket_(context),
       connect_timer_(context) {}
 
-void ClientConnection::Prepare() {
+void ClientConnection::Preconnect() {
   if (!is_open_ && !is_connecting_ && !is_closed_) {
     Connect();
   }
@@ -64,7 +64,7 @@
     Write();
     return;
   }
-  Prepare();
+  Preconnect();
 }
 
 void ClientConnection::Abort() {
--- a/src/http1/client_connection.h
+++ b/src/http1/client_connection.h
@@ -75,7 +75,7 @@
   ClientConnection(boost::asio::io_context& context, Settings settings);
 
   // Connects without an exchange, so that the next one needn't wait for that.
-  void Prepare();
+  void Preconnect();
   // Starts an exchange. The connection must be free.
   void Start(Exchange exchange);
   // Cancels the exchange and closes the connection; `done` is not called.
--- a/src/upstream/forward_client.cc
+++ b/src/upstream/forward_client.cc
@@ -191,7 +191,7 @@
 
 void ForwardClient::Impl::Prepare(const blackboard::Upstream& upstream) {
   if (const auto connection = Take(upstream)) {
-    connection->Prepare();
+    connection->Preconnect();
   }
 }
 
