--- a/src/http1/message.cc
+++ b/src/http1/message.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-void RemoveConnectionFields(Fields& fields) {
+void RemoveHopByHopFields(Fields& fields) {
   for (const std::string& name : NamedByConnection(fields)) {
     fields.erase(name);
   }
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -35,7 +35,7 @@
 
 // Removes the hop-by-hop fields, including those that a `Connection` field
 // names. They must not be forwarded.
-void RemoveConnectionFields(Fields& fields);
+void RemoveHopByHopFields(Fields& fields);
 
 }  // namespace medlarspread::http1
 
--- a/src/platform/caller_codec.cc
+++ b/src/platform/caller_codec.cc
@@ -49,7 +49,7 @@
 
 Response EncodePassedOn(query::PassedOn passed) {
   Response response = std::move(passed.message);
-  http1::RemoveConnectionFields(response);
+  http1::RemoveHopByHopFields(response);
   response.version(kHttpVersion);
   // NOTE: the length stays as the leaf gave it, which matters for HEAD, where
   // it comes without a body.
@@ -100,7 +100,7 @@
                            "no request identifier or host");
   }
   incoming.deadline = DecodeDeadline(request);
-  http1::RemoveConnectionFields(request);
+  http1::RemoveHopByHopFields(request);
   request.erase(http::field::expect);
   incoming.message = std::make_shared<const http1::Request>(std::move(request));
   return incoming;
--- a/tests/http1/message_test.cc
+++ b/tests/http1/message_test.cc
@@ -15,7 +15,7 @@
   request.insert("Transfer-Encoding", "chunked");
   request.insert("X-End", "2");
   request.insert("X-End", "3");
-  RemoveConnectionFields(request);
+  RemoveHopByHopFields(request);
   EXPECT_EQ(request.count("X-Hop"), 0U);
   EXPECT_EQ(request.count("Connection"), 0U);
   EXPECT_EQ(request.count("Keep-Alive"), 0U);
