--- a/tests/http1/message_test.cc
+++ b/tests/http1/message_test.cc
@@ -7,7 +7,7 @@
 namespace medlarspread::http1 {
 namespace {
 
-TEST(RemoveConnectionFieldsTest, RemovesThoseThatConnectionNames) {
+TEST(RemoveHopByHopFieldsTest, RemovesThoseThatConnectionNames) {
   Request request;
   request.insert("Connection", "X-Hop, keep-alive");
   request.insert("X-Hop", "1");
