--- a/src/http1/timed_exchange.cc
+++ b/src/http1/timed_exchange.cc
@@ -8,9 +8,9 @@
 
 namespace medlarspread::http1 {
 
-void Start(const std::shared_ptr<ClientConnection>& connection,
-           const base::TaskRunner& runner,
-           TimedExchange exchange) {
+void StartTimedExchange(const std::shared_ptr<ClientConnection>& connection,
+                        const base::TaskRunner& runner,
+                        TimedExchange exchange) {
   if (!connection) {
     runner.Post([exchange = std::move(exchange)] {
       exchange.done(base::MakeError(base::ErrorCode::kInvalidArgument,
--- a/src/http1/timed_exchange.h
+++ b/src/http1/timed_exchange.h
@@ -29,9 +29,9 @@
 // response. After the timeout the connection is closed. `connection` may be
 // null if the peer's address is invalid: then `done` gets kInvalidArgument, but
 // not before this function has returned.
-void Start(const std::shared_ptr<ClientConnection>& connection,
-           const base::TaskRunner& runner,
-           TimedExchange exchange);
+void StartTimedExchange(const std::shared_ptr<ClientConnection>& connection,
+                        const base::TaskRunner& runner,
+                        TimedExchange exchange);
 
 }  // namespace medlarspread::http1
 
--- a/src/platform/store_calls.cc
+++ b/src/platform/store_calls.cc
@@ -233,7 +233,7 @@
     }
     done(self->Decode(response.value()));
   };
-  http1::Start(Connect(), control_, std::move(exchange));
+  http1::StartTimedExchange(Connect(), control_, std::move(exchange));
 }
 
 Result<Answer> StoreCalls::Impl::Decode(const Response& response) const {
--- a/src/relay/peer_client.cc
+++ b/src/relay/peer_client.cc
@@ -82,7 +82,7 @@
       done(response.error());
     }
   };
-  http1::Start(ConnectionTo(peer), control_, std::move(exchange));
+  http1::StartTimedExchange(ConnectionTo(peer), control_, std::move(exchange));
 }
 
 std::shared_ptr<http1::ClientConnection> PeerClient::ConnectionTo(
--- a/tests/http1/timed_exchange_test.cc
+++ b/tests/http1/timed_exchange_test.cc
@@ -56,7 +56,7 @@
       EXPECT_FALSE(result.has_value()) << "ended twice";
       result = std::move(ended);
     };
-    Start(connection, runner_, std::move(exchange));
+    StartTimedExchange(connection, runner_, std::move(exchange));
     EXPECT_FALSE(result.has_value()) << "ended inside the call";
     while (!result) {
       context_.run_one();
