--- a/tests/http1/caller_listener_test.cc
+++ b/tests/http1/caller_listener_test.cc
@@ -15,7 +15,7 @@
 
 using boost::asio::ip::tcp;
 
-constexpr auto kLongest = std::chrono::seconds(20);
+constexpr auto kTestTimeout = std::chrono::seconds(20);
 
 class CallerListenerTest : public testing::Test {
  protected:
@@ -41,7 +41,7 @@
   }
 
   void RunUntil(const std::function<bool()>& is_done) {
-    const auto end = std::chrono::steady_clock::now() + kLongest;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!is_done() && std::chrono::steady_clock::now() < end) {
       context_.run_one_for(std::chrono::milliseconds(10));
       context_.restart();
@@ -101,7 +101,7 @@
   Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   RunUntil([this] { return requests_.size() == 1; });
   caller_.close();
-  const auto end = std::chrono::steady_clock::now() + kLongest;
+  const auto end = std::chrono::steady_clock::now() + kTestTimeout;
   while (abandoned_ == 0 && std::chrono::steady_clock::now() < end) {
     context_.run_one_for(std::chrono::milliseconds(10));
     context_.restart();
--- a/tests/http1/client_connection_test.cc
+++ b/tests/http1/client_connection_test.cc
@@ -16,7 +16,7 @@
 
 using upstream::RawLeaf;
 
-constexpr auto kLongest = std::chrono::seconds(20);
+constexpr auto kTestTimeout = std::chrono::seconds(20);
 
 class ClientConnectionTest : public testing::Test {
  protected:
@@ -55,7 +55,7 @@
 
   void RunUntil(const std::function<bool()>& is_done) {
     context_.restart();
-    const auto end = std::chrono::steady_clock::now() + kLongest;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!is_done() && std::chrono::steady_clock::now() < end) {
       context_.run_one_for(std::chrono::milliseconds(10));
       context_.restart();
