--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -1,4 +1,4 @@
-// The HTTP library's client behind http::Client.
+// Implements http::Client with the HTTP library's client.
 
 #include "src/http/client.h"
 
@@ -16,8 +16,8 @@
 using base::ErrorCode;
 using web::http::http_exception;
 
-// The library reports a refused or failed connection with these codes; for
-// every other failure the request may already have left.
+// The library reports a refused or failed connection with these codes. After
+// any other failure the request may already have been sent.
 bool IsConnectFailure(const std::error_code& code) {
   return code == std::errc::connection_refused ||
          code == std::errc::host_unreachable ||
@@ -25,14 +25,14 @@
          code == std::errc::address_not_available;
 }
 
-// A body that can be read once only. The library repeats a request by rewinding
-// its body and gives up if it can't: the failure is then reported to us.
+// A body that can be read only once. To resend a request, the library rewinds
+// its body; if it can't, it reports the failure to the caller instead.
 concurrency::streams::istream MakeUnrepeatableBody(const std::string& body) {
   concurrency::streams::producer_consumer_buffer<std::uint8_t> buffer;
-  // NOTE: both take effect within the call, and nothing waits for the tasks
-  // they return: the library ends that of close() on another traffic thread,
-  // so that waits on all of these would never end. The content length says
-  // how much is read.
+  // NOTE: both calls take effect immediately, so the tasks they return need no
+  // wait. Waiting for the task of close() could deadlock: the library completes
+  // it on another traffic thread, and all of these might be waiting. The
+  // content length determines how much is read.
   buffer.putn_nocopy(reinterpret_cast<const std::uint8_t*>(body.data()),
                      body.size());
   buffer.close(std::ios_base::out);
@@ -59,8 +59,8 @@
   return message;
 }
 
-// One request in flight. It keeps itself alive until the library is done; the
-// callback runs once, on whichever of reply and timeout comes first.
+// One request in flight, kept alive until the library has finished it. The
+// callback runs once, for the reply or the timeout, whichever comes first.
 class Exchange {
  public:
   Exchange(Client::Callback callback, base::TaskRunner runner)
@@ -76,7 +76,7 @@
     });
   }
 
-  // Written once before the request is sent; cancelled when it ends.
+  // Set before the request is sent; cancelled when the request ends.
   base::Timer deadline;
 
  private:
@@ -102,7 +102,7 @@
   int in_flight() const { return in_flight_.load(); }
 
  private:
-  // Counts one request for as long as it lives.
+  // Counts one request as in flight during its lifetime.
   class InFlightMark {
    public:
     explicit InFlightMark(std::shared_ptr<Impl> impl) : impl_(std::move(impl)) {
@@ -118,8 +118,8 @@
 
   static web::http::client::http_client_config MakeConfig() {
     web::http::client::http_client_config config;
-    // NOTE: this is the library's timeout per read; the deadline of a request
-    // is our own timer. It only bounds how long a dead connection is kept.
+    // NOTE: this is the library's timeout for each read and only limits how
+    // long a dead connection is kept. Request timeouts use Exchange::deadline.
     config.set_timeout(std::chrono::seconds(30));
     return config;
   }
@@ -180,10 +180,11 @@
                         Callback callback) {
   auto exchange =
       std::make_shared<Exchange>(std::move(callback), self->timers_);
-  // NOTE: the library gives the connection back after it has completed the
-  // task and before it destroys the request, so the request counts as in
-  // flight until then: only so does the count bound the connections. The
-  // progress handler is the one thing of ours that lives as long.
+  // NOTE: the library returns the connection to its pool after it has completed
+  // the task and before it destroys the request. The request must count as in
+  // flight until then, so that the count limits the number of connections. Of
+  // the objects passed to the library, only the progress handler lives that
+  // long.
   const auto mark = std::make_shared<InFlightMark>(self);
   web::http::http_request message = ToLibrary(request);
   message.set_progress_handler(
@@ -191,8 +192,8 @@
   exchange->deadline = self->timers_.After(timeout, [self, exchange] {
     exchange->Finish(self->MakeError(ErrorCode::kTimeout, "no reply in time"));
   });
-  // NOTE: every exception of the task chain is observed in the last step; an
-  // unobserved one would end the process.
+  // NOTE: the last continuation observes every exception of the task chain,
+  // because an unobserved one would terminate the process.
   self->client_.request(message)
       .then([](web::http::http_response response) {
         return response.extract_vector().then(
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,8 +1,9 @@
-// An HTTP client towards one address. It keeps connections open for reuse.
-// NOTE: the library opens a connection whenever none is idle, so the number of
-// connections is bounded only by the number of requests the caller keeps in
-// flight; in_flight() counts them, timed-out ones included until they end. A
-// request ends shortly after its callback, when its connection is idle again.
+// An HTTP client for one address, with a pool of reusable connections.
+// NOTE: the HTTP library opens a connection whenever none is idle, so only the
+// number of requests in flight limits the number of connections. in_flight()
+// counts them; a request that timed out counts until the library has finished
+// it. A request is finished shortly after its callback, once its connection is
+// idle.
 
 #ifndef MEDLARSPREAD_HTTP_CLIENT_H_
 #define MEDLARSPREAD_HTTP_CLIENT_H_
@@ -22,7 +23,7 @@
 
 struct ClientSettings {
   std::string address;
-  // Reported in errors.
+  // The step that errors name.
   base::Step step = base::Step::kSendUpstream;
   std::size_t max_body_bytes = 4 << 20;
 };
@@ -31,15 +32,15 @@
  public:
   using Callback = std::function<void(base::Result<Response>)>;
 
-  // `timers` runs the deadlines and the callbacks.
+  // Timeouts and callbacks run on `timers`.
   Client(ClientSettings settings, base::TaskRunner timers);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  // Sends `request` and calls `callback` once on the timers' sequence: with the
-  // response, with kUnreachable if nothing was sent, with kConnectionLost if
-  // the request may have left, or with kTimeout after `timeout`.
+  // Sends `request` and calls `callback` once on the sequence of `timers`: with
+  // the response, kUnreachable if nothing was sent, kConnectionLost if the
+  // request may have been sent, or kTimeout after `timeout`.
   void Send(const Request& request, base::Duration timeout, Callback callback);
 
   int in_flight() const;
--- a/src/http/listener.cc
+++ b/src/http/listener.cc
@@ -1,4 +1,4 @@
-// The HTTP library's listener behind http::Listener.
+// Implements http::Listener with the HTTP library's listener.
 
 #include "src/http/listener.h"
 
@@ -24,8 +24,9 @@
 constexpr int kOpenAttempts = 20;
 constexpr auto kCloseInterval = std::chrono::milliseconds(5);
 
-// The library can't report the port it was given for port 0, so a free one is
-// looked up first. Another process may take it in between: Open() tries again.
+// The library can't report which port the system chose for port 0, so this
+// finds a free one first. Another process may take it before the library binds
+// it, so Open() retries.
 std::string PickFreePort(const std::string& host) {
   boost::asio::io_context context;
   boost::asio::ip::tcp::acceptor acceptor(
@@ -57,8 +58,8 @@
   std::atomic<bool> is_closing = false;
 };
 
-// One request from arrival to answer. It keeps itself alive through the
-// callbacks that refer to it.
+// One request from its arrival to its response, kept alive by the callbacks
+// that refer to it.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(const web::http::http_request& message,
@@ -86,7 +87,7 @@
           try {
             task.get();
           } catch (const std::exception&) {
-            // The caller is gone. There is nobody left to tell.
+            // The caller has disconnected, so the response can't be delivered.
           }
         });
   }
@@ -143,7 +144,7 @@
   const auto colon = settings_.address.rfind(':');
   if (colon == std::string::npos) {
     return base::MakeError(ErrorCode::kInvalidArgument, Step::kListen,
-                           settings_.address, "address lacks a port");
+                           settings_.address, "the address has no port");
   }
   const std::string host = settings_.address.substr(0, colon);
   const std::string port = settings_.address.substr(colon + 1);
@@ -183,7 +184,7 @@
   try {
     listener_->close().wait();
   } catch (const std::exception&) {
-    // Closing is best effort: every request has been answered by now.
+    // Errors don't matter: every request has been answered.
   }
   listener_.reset();
 }
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,6 +1,6 @@
-// An HTTP server on one address. Bodies are bounded in size and in the time
-// they may take to arrive; handlers answer through a responder at any later
-// time and from any thread.
+// An HTTP server on one address. It limits the size of request bodies and the
+// time they may take to arrive. Handlers respond through a responder, at any
+// later time and from any thread.
 
 #ifndef MEDLARSPREAD_HTTP_LISTENER_H_
 #define MEDLARSPREAD_HTTP_LISTENER_H_
@@ -18,19 +18,19 @@
 
 namespace medlarspread::http {
 
-// Sets the number of traffic threads of the HTTP library, which are also the
-// threads behind TrafficContext(). Call once, before any other use.
+// Sets the number of traffic threads, which are the HTTP library's threads and
+// run TrafficContext(). Call once, before any other use of the library.
 void InitializeTrafficThreads(int count);
 
 // The event loop that the traffic threads run.
 boost::asio::io_context& TrafficContext();
 
-// Sends the response. The first call counts, later ones are ignored.
+// Sends the response. Calls after the first are ignored.
 using Responder = std::function<void(Response)>;
 using Handler = std::function<void(const Request&, Responder)>;
 
 struct ListenerSettings {
-  // "127.0.0.1:8080". Port 0 takes a free port; see Listener::address().
+  // "ip:port". Port 0 selects a free port; see Listener::address().
   std::string address;
   std::size_t max_body_bytes = 1 << 20;
   base::Duration body_timeout = base::Milliseconds(5000);
@@ -44,13 +44,13 @@
   Listener& operator=(const Listener&) = delete;
 
   base::Status Open();
-  // Refuses new connections, while those that are open are still served; each
-  // is asked to close with its next response.
+  // Refuses new connections. Open ones are still served; each is closed after
+  // its next response.
   void StopAccepting();
-  // Stops accepting and waits until the requests in flight are answered.
+  // Blocks until the requests in flight are answered, then closes the listener.
   void Close();
 
-  // The address that is listened on, with the real port. Valid after Open().
+  // The listening address with the actual port. Valid after Open().
   const std::string& address() const;
   // Requests that have arrived and are not yet answered.
   int in_flight() const;
--- a/src/http/listening_socket.cc
+++ b/src/http/listening_socket.cc
@@ -1,4 +1,4 @@
-// Finds the socket among the process's open descriptors.
+// Finds the socket among the process's open file descriptors.
 
 #include "src/http/listening_socket.h"
 
@@ -24,7 +24,7 @@
          is_listening != 0;
 }
 
-// "ip:port" of an IPv4 socket, or nothing.
+// "ip:port" of an IPv4 socket, or an empty string.
 std::string AddressOf(int descriptor) {
   sockaddr_in address{};
   socklen_t size = sizeof(address);
@@ -38,7 +38,8 @@
   return std::string(text) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-// A listening socket on a loopback port that nobody is told, or -1.
+// Returns a listening socket on a random loopback port that no client knows, or
+// -1.
 int OpenSilentSocket() {
   const int descriptor =
       socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -54,10 +55,12 @@
   return -1;
 }
 
-// NOTE: shutdown() would not do. The library answers a failed accept with
-// another one at once and without end, which takes a whole thread and reads the
-// listener after it was destroyed. A silent socket in its place leaves the
-// library waiting; the old one is closed by the exchange.
+// Replaces the listening socket with one that gets no connections; dup3()
+// closes the old one.
+//
+// NOTE: shutdown() doesn't work here. After a failed accept the library retries
+// at once and forever, which occupies a thread and reads the listener after it
+// was destroyed. With the idle socket the library's accept stays pending.
 void Silence(int descriptor) {
   const int silent = OpenSilentSocket();
   if (silent < 0) {
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,5 +1,5 @@
-// Plain HTTP request and response values, so that only this folder includes
-// the HTTP library's headers.
+// Plain HTTP request and response types, so that only this folder includes the
+// HTTP library's HTTP headers.
 
 #ifndef MEDLARSPREAD_HTTP_MESSAGE_H_
 #define MEDLARSPREAD_HTTP_MESSAGE_H_
@@ -9,7 +9,7 @@
 
 namespace medlarspread::http {
 
-// Standard status codes that this project answers with.
+// The standard status codes that this project uses.
 enum StatusCode : int {
   kOk = 200,
   kAccepted = 202,
@@ -36,9 +36,9 @@
   std::map<std::string, std::string> headers;
   std::string body;
   std::string content_type = "application/json";
-  // Set for a request with a body that must reach the server once at most.
-  // NOTE: otherwise the HTTP library sends a request again, on its own, when
-  // a reused connection is closed before the reply.
+  // Set for a request that must reach the server at most once; needs a body.
+  // NOTE: otherwise the HTTP library resends a request by itself if a reused
+  // connection is closed before the reply.
   bool is_sent_once = false;
 };
 
--- a/tests/http/busy_threads_test.cc
+++ b/tests/http/busy_threads_test.cc
@@ -1,5 +1,5 @@
-// Sends that start on the traffic threads themselves, on all of them at once:
-// none may wait for work that another traffic thread has to do.
+// Guards against a deadlock when requests are sent from all traffic threads at
+// once: no send may block on work that another traffic thread must do.
 
 #include <atomic>
 #include <future>
@@ -23,7 +23,7 @@
       {.address = "127.0.0.1:0"},
       [](const Request&, const Responder& respond) { respond({}); });
   ASSERT_TRUE(listener.Open().is_ok());
-  // Shared with callbacks that come after a failed wait.
+  // Shared, because callbacks may run after the wait has failed.
   struct Shared {
     explicit Shared(const std::string& address)
         : client({.address = address}, base::TaskRunner(TrafficContext())) {}
--- a/tests/http/exchange_test.cc
+++ b/tests/http/exchange_test.cc
@@ -1,5 +1,5 @@
-// The client and the listener against each other over loopback: sizes, slow
-// replies, refused connections.
+// The client and the listener over loopback: body limits, timeouts and refused
+// connections.
 
 #include <future>
 #include <thread>
@@ -108,12 +108,12 @@
   ASSERT_TRUE(listener.Open().is_ok());
   Client client({.address = listener.address()}, timers_);
   ASSERT_TRUE(SendAndWait(client, {}, kLongTimeout).is_ok());
-  // The connection goes back to the client's pool only after the callback.
+  // The connection returns to the client's pool only after the callback.
   while (client.in_flight() > 0) {
     std::this_thread::yield();
   }
   listener.StopAccepting();
-  // The connection that is open serves once more and is then closed.
+  // The open connection serves one more request and is then closed.
   const auto last = SendAndWait(client, {}, kLongTimeout);
   ASSERT_TRUE(last.is_ok()) << last.error().ToString();
   EXPECT_EQ(last.value().headers.at("connection"), "close");
--- a/tests/http/resend_test.cc
+++ b/tests/http/resend_test.cc
@@ -1,5 +1,5 @@
-// A server that reads a request on a reused connection and closes it without a
-// reply: a request that is to be sent once must not be repeated by the library.
+// The HTTP library resends a request if a server closes a reused connection
+// without a reply. It must not do so with is_sent_once.
 
 #include <atomic>
 #include <future>
@@ -25,14 +25,14 @@
 constexpr char kBodyEnd[] = "#";
 
 // Answers the first request, closes the connection on the second without a
-// reply, and answers whatever comes after that.
+// reply, and answers all later ones.
 class ClosingServer {
  public:
   ClosingServer()
       : acceptor_(context_, {boost::asio::ip::address_v4::loopback(), 0}),
         thread_([this] { Run(); }) {}
 
-  // The client must be gone by now, so that no connection is left open.
+  // The client must be destroyed first, so that no connection is open.
   ~ClosingServer() {
     is_stopping_ = true;
     boost::system::error_code ignored;
@@ -95,9 +95,9 @@
   return promise.get_future().get();
 }
 
-// The library tells the result of a request before it gives the connection
-// back; a request in between opens one of its own. The server serves one at a
-// time and would never read it.
+// The library reports the result of a request before it returns the connection
+// to its pool. A request sent in between would open a second connection, which
+// this server, serving one connection at a time, would never read.
 void AwaitFreeConnection(const Client& client) {
   while (client.in_flight() > 0) {
     std::this_thread::yield();
