--- a/src/caller_api/answer_renderer.cc
+++ b/src/caller_api/answer_renderer.cc
@@ -1,5 +1,5 @@
-// One function per kind of answer. The items are JSON text already and are
-// copied unread; everything else is quoted here.
+// Renders each kind of answer. The items are already JSON and are copied
+// without parsing; all other values are quoted here.
 
 #include "src/caller_api/answer_renderer.h"
 
@@ -26,8 +26,8 @@
 }
 
 std::string ShowCoverage(const query::Coverage& coverage) {
-  // A partial answer never passes as complete: the share is written with as
-  // many digits as it takes to tell it from 1.
+  // A partial answer must not look complete, so the share is written with
+  // enough digits to differ from 1.
   assert(coverage.is_partial ||
          (coverage.share == 1.0 && coverage.missing.empty()));
   return R"({"share":)" + JsonNumber(coverage.share) +
--- a/src/caller_api/answer_renderer.h
+++ b/src/caller_api/answer_renderer.h
@@ -1,4 +1,4 @@
-// Turns answers into HTTP responses, as docs/INTERFACES.md describes them.
+// Renders answers as HTTP responses in the format of docs/INTERFACES.md.
 
 #ifndef MEDLARSPREAD_CALLER_API_ANSWER_RENDERER_H_
 #define MEDLARSPREAD_CALLER_API_ANSWER_RENDERER_H_
@@ -12,8 +12,8 @@
 
 http::Response RenderAnswer(const query::CallerAnswer& answer);
 
-// A request that was not run because of what it says. `error` is a short name,
-// `field` the field at fault or empty.
+// The response to an invalid request, which was not executed. `error` is a
+// short name; `field` is the invalid field, or empty.
 http::Response RenderInvalid(int status,
                              const std::string& error,
                              const std::string& field,
--- a/src/caller_api/caller_api.cc
+++ b/src/caller_api/caller_api.cc
@@ -1,4 +1,4 @@
-// Routes and checks of the callers' interface.
+// Dispatches requests by path and checks whether they can be accepted.
 
 #include "src/caller_api/caller_api.h"
 
@@ -20,9 +20,11 @@
 constexpr const char* kQueryPath = "/v1/query";
 constexpr const char* kReadyPath = "/v1/ready";
 
-// A daemon that is not ready is out of the balancer within about a second.
+// The load balancer stops using a daemon that isn't ready within about a
+// second.
 constexpr base::Duration kRetryWhenNotReady = base::Milliseconds(1000);
-// Requests take tens to hundreds of milliseconds, so room is made soon.
+// Requests take tens to hundreds of milliseconds, so capacity is soon free
+// again.
 constexpr base::Duration kRetryWhenFull = base::Milliseconds(200);
 
 http::Response RenderWrongMethod(const std::string& allowed) {
@@ -70,7 +72,8 @@
     return;
   }
   auto& caller_request = std::get<query::CallerRequest>(parsed);
-  // Before the class: a daemon that is still starting knows no classes.
+  // Checked before the class, because a starting daemon doesn't know the
+  // classes.
   const auto refusal = FindRefusal(caller_request.request_id);
   if (refusal) {
     respond(RenderAnswer(*refusal));
@@ -104,8 +107,8 @@
         .retry_after = kRetryWhenNotReady,
         .kind = query::RefusalKind::kUnavailable};
   }
-  // NOTE: requests that arrive at the same moment may exceed the bound by the
-  // number of traffic threads; it protects memory and needs no exact count.
+  // NOTE: concurrent requests may exceed the limit by the number of traffic
+  // threads. The limit protects memory and needn't be exact.
   if (in_flight_->load() >= settings_.max_requests) {
     return query::Refused{
         .request_id = request_id,
--- a/src/caller_api/caller_api.h
+++ b/src/caller_api/caller_api.h
@@ -1,5 +1,5 @@
-// The HTTP interface for callers: POST /v1/query and GET /v1/ready. It checks
-// requests, hands the good ones on, and renders the answers.
+// The HTTP interface for callers: POST /v1/query and GET /v1/ready. It
+// validates requests, submits the valid ones and renders the answers.
 
 #ifndef MEDLARSPREAD_CALLER_API_CALLER_API_H_
 #define MEDLARSPREAD_CALLER_API_CALLER_API_H_
@@ -17,7 +17,7 @@
 namespace medlarspread::caller_api {
 
 struct CallerApiSettings {
-  // Requests in flight at once; more are refused.
+  // Limit on requests in flight; further ones are refused.
   int max_requests = 2000;
 };
 
@@ -31,26 +31,26 @@
             const blackboard::Blackboard& blackboard,
             query::SubmitRequest submit);
 
-  // The http::Handler of the callers' listener.
+  // The http::Handler for the listener for callers.
   void Handle(const http::Request& request, http::Responder respond);
 
   // Requests submitted and not yet answered.
   int in_flight() const { return in_flight_->load(); }
 
-  // Requests that were malformed or of an unknown class, since the start.
+  // Malformed requests and requests of an unknown class since the start.
   std::uint64_t invalid_requests() const { return invalid_requests_; }
 
  private:
   void HandleQuery(const http::Request& request,
                    const http::Responder& respond);
   http::Response RenderReadiness() const;
-  // Why a valid request is not taken for now, or nothing.
+  // The refusal if this daemon can't accept a valid request now, else nullopt.
   std::optional<query::Refused> FindRefusal(const std::string& request_id);
 
   const CallerApiSettings settings_;
   const blackboard::Blackboard& blackboard_;
   const query::SubmitRequest submit_;
-  // Shared with answers that outlive this object.
+  // Shared with pending answers, which may outlive this object.
   const std::shared_ptr<std::atomic<int>> in_flight_ =
       std::make_shared<std::atomic<int>>(0);
   std::atomic<std::uint64_t> invalid_requests_ = 0;
--- a/src/caller_api/pending_answer.cc
+++ b/src/caller_api/pending_answer.cc
@@ -1,4 +1,4 @@
-// Sees to it that each request gets one answer, and its own.
+// Ensures that each request gets exactly one answer, and the right one.
 
 #include "src/caller_api/pending_answer.h"
 
@@ -34,9 +34,10 @@
   if (is_answered_) {
     return;
   }
-  Answer(query::Unknown{request_id_,
-                        base::MakeError(ErrorCode::kInternal, Step::kMerge, "",
-                                        "the request was given up")});
+  Answer(query::Unknown{
+      request_id_,
+      base::MakeError(ErrorCode::kInternal, Step::kMerge, "",
+                      "the request was abandoned without an answer")});
 }
 
 void PendingAnswer::Answer(const query::CallerAnswer& answer) {
--- a/src/caller_api/pending_answer.h
+++ b/src/caller_api/pending_answer.h
@@ -1,5 +1,5 @@
-// One request between its arrival and its answer. Shared by whoever may still
-// answer it; the first answer counts.
+// A request that has not been answered yet. Shared by everything that may still
+// answer it; only the first answer is sent.
 
 #ifndef MEDLARSPREAD_CALLER_API_PENDING_ANSWER_H_
 #define MEDLARSPREAD_CALLER_API_PENDING_ANSWER_H_
@@ -15,17 +15,17 @@
 
 class PendingAnswer {
  public:
-  // Counts itself in `in_flight` until it is answered.
+  // Adds 1 to `in_flight` until the request is answered.
   PendingAnswer(std::string request_id,
                 http::Responder respond,
                 std::shared_ptr<std::atomic<int>> in_flight);
-  // If nobody has answered by then, nobody will: the outcome is unknown.
+  // Answers that the outcome is unknown if there was no answer.
   ~PendingAnswer();
   PendingAnswer(const PendingAnswer&) = delete;
   PendingAnswer& operator=(const PendingAnswer&) = delete;
 
-  // An answer to another request is not passed on; the outcome is then
-  // unknown.
+  // If `answer` is for another request, it is dropped and the caller is told
+  // that the outcome is unknown.
   void Answer(const query::CallerAnswer& answer);
 
  private:
--- a/src/caller_api/request_parser.cc
+++ b/src/caller_api/request_parser.cc
@@ -1,4 +1,4 @@
-// Checks of a caller's request, field by field.
+// Validates the fields of a request.
 
 #include "src/caller_api/request_parser.h"
 
@@ -53,8 +53,8 @@
          std::all_of(suffix.begin(), suffix.end(), IsLetterOrDigit);
 }
 
-// Every field known and none given twice: with two values for "idempotent"
-// nobody could say which one holds.
+// Every field must be known and present exactly once. With two values for
+// "idempotent", for example, it would be unclear which one applies.
 std::optional<InvalidField> CheckFieldNames(const web::json::object& fields) {
   std::set<std::string> seen;
   const std::vector<std::string>& known = FieldNames();
@@ -122,8 +122,8 @@
     }
     return ParseFields(root.as_object());
   } catch (const std::exception&) {
-    // The library's message may quote any bytes of the body; it isn't passed
-    // on.
+    // The library's message may quote arbitrary bytes of the body, so it isn't
+    // included.
     return InvalidField{"", "the body is not valid JSON, or nested too deep"};
   }
 }
--- a/src/caller_api/request_parser.h
+++ b/src/caller_api/request_parser.h
@@ -1,5 +1,5 @@
-// Turns the body of POST /v1/query into a CallerRequest. Whatever is wrong with
-// it is said by field, and nothing of it is run.
+// Parses the body of POST /v1/query into a CallerRequest. Errors name the
+// invalid field; an invalid request is never executed.
 
 #ifndef MEDLARSPREAD_CALLER_API_REQUEST_PARSER_H_
 #define MEDLARSPREAD_CALLER_API_REQUEST_PARSER_H_
@@ -11,16 +11,16 @@
 
 namespace medlarspread::caller_api {
 
-// Why a body is not a request.
+// Why a body is not a valid request.
 struct InvalidField {
-  // The field at fault; empty if the body as a whole is.
+  // The invalid field; empty if the body as a whole is invalid.
   std::string field;
   std::string detail;
 };
 
 using ParsedRequest = std::variant<query::CallerRequest, InvalidField>;
 
-// Never throws, whatever the bytes. Does not check that the class exists.
+// Never throws, whatever `body` contains. Doesn't check that the class exists.
 ParsedRequest ParseCallerRequest(const std::string& body);
 
 }  // namespace medlarspread::caller_api
--- a/tests/caller_api/caller_api_test.cc
+++ b/tests/caller_api/caller_api_test.cc
@@ -1,5 +1,5 @@
-// The callers' interface: what is refused, by which field, and that nothing of
-// it is submitted; and how answers look.
+// The interface for callers: invalid requests name the invalid field and are
+// not submitted; each kind of answer is rendered as specified.
 
 #include <string>
 #include <vector>
@@ -251,7 +251,7 @@
   api.Handle(request, respond);
   EXPECT_THAT(statuses, testing::ElementsAre(http::kTooManyRequests));
   EXPECT_EQ(api.in_flight(), 1);
-  // The work is given up without an answer: the caller still gets one.
+  // If a request is dropped without an answer, the caller still gets one.
   kept.clear();
   EXPECT_THAT(statuses, testing::ElementsAre(http::kTooManyRequests,
                                              http::kGatewayTimeout));
--- a/tests/caller_api/request_parser_property_test.cc
+++ b/tests/caller_api/request_parser_property_test.cc
@@ -1,6 +1,6 @@
-// Whatever bytes arrive, parsing neither throws nor yields a request that the
-// rules forbid. RapidCheck prints the seed of a failure; RC_PARAMS="seed=N"
-// runs it again.
+// Property test: for arbitrary input, parsing neither throws nor returns an
+// invalid request. RapidCheck prints the seed of a failure; RC_PARAMS="seed=N"
+// reproduces it.
 
 #include <string>
 
