--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -103,14 +103,15 @@
 
  private:
   // Counts one request as in flight during its lifetime.
-  class InFlightMark {
+  class InFlightGuard {
    public:
-    explicit InFlightMark(std::shared_ptr<Impl> impl) : impl_(std::move(impl)) {
+    explicit InFlightGuard(std::shared_ptr<Impl> impl)
+        : impl_(std::move(impl)) {
       ++impl_->in_flight_;
     }
-    ~InFlightMark() { --impl_->in_flight_; }
-    InFlightMark(const InFlightMark&) = delete;
-    InFlightMark& operator=(const InFlightMark&) = delete;
+    ~InFlightGuard() { --impl_->in_flight_; }
+    InFlightGuard(const InFlightGuard&) = delete;
+    InFlightGuard& operator=(const InFlightGuard&) = delete;
 
    private:
     const std::shared_ptr<Impl> impl_;
@@ -185,7 +186,7 @@
   // flight until then, so that the count limits the number of connections. Of
   // the objects passed to the library, only the progress handler lives that
   // long.
-  const auto mark = std::make_shared<InFlightMark>(self);
+  const auto mark = std::make_shared<InFlightGuard>(self);
   web::http::http_request message = ToLibrary(request);
   message.set_progress_handler(
       [mark](web::http::message_direction::direction, std::uint64_t) {});
