--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -186,10 +186,10 @@
   // flight until then, so that the count limits the number of connections. Of
   // the objects passed to the library, only the progress handler lives that
   // long.
-  const auto mark = std::make_shared<InFlightGuard>(self);
+  const auto guard = std::make_shared<InFlightGuard>(self);
   web::http::http_request message = ToLibrary(request);
   message.set_progress_handler(
-      [mark](web::http::message_direction::direction, std::uint64_t) {});
+      [guard](web::http::message_direction::direction, std::uint64_t) {});
   exchange->deadline = self->timers_.After(timeout, [self, exchange] {
     exchange->Finish(self->MakeError(ErrorCode::kTimeout, "no reply in time"));
   });
