--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -27,7 +27,7 @@
 
 // A body that can be read only once. To resend a request, the library rewinds
 // its body; if it can't, it reports the failure to the caller instead.
-concurrency::streams::istream MakeUnrepeatableBody(const std::string& body) {
+concurrency::streams::istream MakeNonRewindableBody(const std::string& body) {
   concurrency::streams::producer_consumer_buffer<std::uint8_t> buffer;
   // NOTE: both calls take effect immediately, so the tasks they return need no
   // wait. Waiting for the task of close() could deadlock: the library completes
@@ -51,7 +51,7 @@
   }
   if (request.is_sent_once) {
     assert(!request.body.empty());
-    message.set_body(MakeUnrepeatableBody(request.body), request.body.size(),
+    message.set_body(MakeNonRewindableBody(request.body), request.body.size(),
                      request.content_type);
   } else if (!request.body.empty()) {
     message.set_body(request.body, request.content_type);
