--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -39,7 +39,7 @@
   return buffer.create_istream();
 }
 
-web::http::http_request ToLibrary(const Request& request) {
+web::http::http_request ToLibraryRequest(const Request& request) {
   web::http::http_request message(request.method);
   web::uri_builder uri(web::uri::encode_uri(request.path));
   for (const auto& [name, value] : request.parameters) {
@@ -187,7 +187,7 @@
   // the objects passed to the library, only the progress handler lives that
   // long.
   const auto guard = std::make_shared<InFlightGuard>(self);
-  web::http::http_request message = ToLibrary(request);
+  web::http::http_request message = ToLibraryRequest(request);
   message.set_progress_handler(
       [guard](web::http::message_direction::direction, std::uint64_t) {});
   exchange->deadline = self->timers_.After(timeout, [self, exchange] {
