--- a/src/http/listener.cc
+++ b/src/http/listener.cc
@@ -34,7 +34,7 @@
   return std::to_string(acceptor.local_endpoint().port());
 }
 
-Request FromLibrary(const web::http::http_request& message) {
+Request FromLibraryRequest(const web::http::http_request& message) {
   Request request;
   request.method = message.method();
   request.path = web::uri::decode(message.relative_uri().path());
@@ -214,7 +214,7 @@
             exchange->Fail(kPayloadTooLarge, "body too large");
             return;
           }
-          Request request = FromLibrary(exchange->message());
+          Request request = FromLibraryRequest(exchange->message());
           request.body.assign(body.begin(), body.end());
           handler_(request, [exchange](Response response) {
             exchange->Reply(std::move(response));
