--- a/src/http/listening_socket.cc
+++ b/src/http/listening_socket.cc
@@ -40,7 +40,7 @@
 
 // Returns a listening socket on a random loopback port that no client knows, or
 // -1.
-int OpenSilentSocket() {
+int OpenIdleSocket() {
   const int descriptor =
       socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
@@ -62,7 +62,7 @@
 // at once and forever, which occupies a thread and reads the listener after it
 // was destroyed. With the idle socket the library's accept stays pending.
 void Silence(int descriptor) {
-  const int silent = OpenSilentSocket();
+  const int silent = OpenIdleSocket();
   if (silent < 0) {
     return;
   }
