--- a/src/http/listening_socket.cc
+++ b/src/http/listening_socket.cc
@@ -61,7 +61,7 @@
 // NOTE: shutdown() doesn't work here. After a failed accept the library retries
 // at once and forever, which occupies a thread and reads the listener after it
 // was destroyed. With the idle socket the library's accept stays pending.
-void Silence(int descriptor) {
+void ReplaceWithIdleSocket(int descriptor) {
   const int silent = OpenIdleSocket();
   if (silent < 0) {
     return;
@@ -78,7 +78,7 @@
        std::filesystem::directory_iterator("/proc/self/fd", ignored)) {
     const int descriptor = std::atoi(entry.path().filename().c_str());
     if (IsListening(descriptor) && AddressOf(descriptor) == address) {
-      Silence(descriptor);
+      ReplaceWithIdleSocket(descriptor);
     }
   }
 }
