--- a/src/http/listening_socket.cc
+++ b/src/http/listening_socket.cc
@@ -62,12 +62,12 @@
 // at once and forever, which occupies a thread and reads the listener after it
 // was destroyed. With the idle socket the library's accept stays pending.
 void ReplaceWithIdleSocket(int descriptor) {
-  const int silent = OpenIdleSocket();
-  if (silent < 0) {
+  const int idle = OpenIdleSocket();
+  if (idle < 0) {
     return;
   }
-  dup3(silent, descriptor, O_CLOEXEC);
-  close(silent);
+  dup3(idle, descriptor, O_CLOEXEC);
+  close(idle);
 }
 
 }  // namespace
