--- a/tests/http/busy_threads_test.cc
+++ b/tests/http/busy_threads_test.cc
@@ -16,7 +16,7 @@
 
 constexpr int kRequests = 400;
 constexpr base::Duration kLongTimeout = base::Milliseconds(60'000);
-constexpr auto kPatience = std::chrono::seconds(30);
+constexpr auto kTestTimeout = std::chrono::seconds(30);
 
 TEST(BusyThreadsTest, RequestsToBeSentOnceDoNotBlockTheTrafficThreads) {
   Listener listener(
@@ -46,7 +46,7 @@
                           });
     });
   }
-  ASSERT_EQ(shared->done.get_future().wait_for(kPatience),
+  ASSERT_EQ(shared->done.get_future().wait_for(kTestTimeout),
             std::future_status::ready)
       << shared->left << " requests are left";
 }
