--- a/src/caller_api/answer_renderer.cc
+++ b/src/caller_api/answer_renderer.cc
@@ -15,7 +15,7 @@
 using base::JsonNumber;
 using base::JsonString;
 
-std::string ShowRanges(const std::vector<blackboard::KeyRange>& ranges) {
+std::string FormatRanges(const std::vector<blackboard::KeyRange>& ranges) {
   std::string text = "[";
   for (const blackboard::KeyRange& range : ranges) {
     text += text.size() > 1 ? "," : "";
@@ -33,8 +33,8 @@
   return R"({"share":)" + JsonNumber(coverage.share) +
          R"(,"shards_answered":)" + std::to_string(coverage.shards_answered) +
          R"(,"shards_total":)" + std::to_string(coverage.shards_total) +
-         R"(,"missing":)" + ShowRanges(coverage.missing) + R"(,"is_partial":)" +
-         (coverage.is_partial ? "true" : "false") + "}";
+         R"(,"missing":)" + FormatRanges(coverage.missing) +
+         R"(,"is_partial":)" + (coverage.is_partial ? "true" : "false") + "}";
 }
 
 std::string ShowSnapshot(const blackboard::Snapshot& snapshot) {
