--- a/src/caller_api/answer_renderer.cc
+++ b/src/caller_api/answer_renderer.cc
@@ -25,7 +25,7 @@
   return text + "]";
 }
 
-std::string ShowCoverage(const query::Coverage& coverage) {
+std::string FormatCoverage(const query::Coverage& coverage) {
   // A partial answer must not look complete, so the share is written with
   // enough digits to differ from 1.
   assert(coverage.is_partial ||
@@ -61,7 +61,7 @@
     response.body = R"({"request_id":)" + JsonString(answer.request_id) +
                     R"(,"outcome":"answered","snapshot":)" +
                     ShowSnapshot(answer.snapshot) + R"(,"coverage":)" +
-                    ShowCoverage(answer.coverage) + R"(,"latency_ms":)" +
+                    FormatCoverage(answer.coverage) + R"(,"latency_ms":)" +
                     JsonNumber(base::ToMilliseconds(answer.latency)) +
                     R"(,"items":)" + answer.items + "}";
     return response;
