--- a/src/caller_api/answer_renderer.cc
+++ b/src/caller_api/answer_renderer.cc
@@ -37,7 +37,7 @@
          R"(,"is_partial":)" + (coverage.is_partial ? "true" : "false") + "}";
 }
 
-std::string ShowSnapshot(const blackboard::Snapshot& snapshot) {
+std::string FormatSnapshot(const blackboard::Snapshot& snapshot) {
   return R"({"index_version":)" + std::to_string(snapshot.index_version) +
          R"(,"layout_version":)" + std::to_string(snapshot.layout_version) +
          "}";
@@ -60,7 +60,7 @@
     http::Response response;
     response.body = R"({"request_id":)" + JsonString(answer.request_id) +
                     R"(,"outcome":"answered","snapshot":)" +
-                    ShowSnapshot(answer.snapshot) + R"(,"coverage":)" +
+                    FormatSnapshot(answer.snapshot) + R"(,"coverage":)" +
                     FormatCoverage(answer.coverage) + R"(,"latency_ms":)" +
                     JsonNumber(base::ToMilliseconds(answer.latency)) +
                     R"(,"items":)" + answer.items + "}";
