--- a/src/caller_api/answer_renderer.cc
+++ b/src/caller_api/answer_renderer.cc
@@ -43,7 +43,7 @@
          "}";
 }
 
-std::string ShowOrigin(const base::Error& error) {
+std::string FormatErrorOrigin(const base::Error& error) {
   const std::string code = error.code.message();
   const std::string detail =
       error.detail.empty() ? code : code + ": " + error.detail;
@@ -76,8 +76,8 @@
         std::chrono::ceil<std::chrono::seconds>(answer.retry_after).count());
     response.body =
         R"({"request_id":)" + JsonString(answer.request_id) +
-        R"(,"outcome":"refused","ran":false,)" + ShowOrigin(answer.error) +
-        R"(,"retry_after_ms":)" +
+        R"(,"outcome":"refused","ran":false,)" +
+        FormatErrorOrigin(answer.error) + R"(,"retry_after_ms":)" +
         std::to_string(ToMillisecondsRoundedUp(answer.retry_after)) + "}";
     return response;
   }
@@ -86,7 +86,8 @@
     http::Response response;
     response.status = http::kGatewayTimeout;
     response.body = R"({"request_id":)" + JsonString(answer.request_id) +
-                    R"(,"outcome":"unknown",)" + ShowOrigin(answer.error) + "}";
+                    R"(,"outcome":"unknown",)" +
+                    FormatErrorOrigin(answer.error) + "}";
     return response;
   }
 };
