--- a/src/caller_api/request_parser.cc
+++ b/src/caller_api/request_parser.cc
@@ -23,7 +23,7 @@
 constexpr std::size_t kMaxTimeDigits = 16;
 constexpr std::size_t kMinSuffixLength = 8;
 constexpr std::size_t kMaxSuffixLength = 64;
-constexpr std::size_t kMaxShownLength = 64;
+constexpr std::size_t kMaxEchoedLength = 64;
 
 const std::vector<std::string>& FieldNames() {
   static const std::vector<std::string> names = {
@@ -61,7 +61,7 @@
   for (const auto& [name, unused] : fields) {
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       const std::string nearest = base::NearestName(name, known);
-      return InvalidField{name.substr(0, kMaxShownLength),
+      return InvalidField{name.substr(0, kMaxEchoedLength),
                           nearest.empty()
                               ? "unknown field"
                               : "unknown field; did you mean " + nearest + "?"};
