--- a/tests/caller_api/caller_api_test.cc
+++ b/tests/caller_api/caller_api_test.cc
@@ -14,7 +14,7 @@
 
 using testing::HasSubstr;
 
-constexpr const char* kGood =
+constexpr const char* kValidRequest =
     R"({"request_id":"1764691200000-4f2aB9c0","class":"counter-lookup",)"
     R"("deadline_ms":500,"idempotent":true,"query":{"any":[1,"x"]}})";
 
@@ -48,9 +48,9 @@
     return Send("POST", "/v1/query", body);
   }
 
-  // kGood with `from` replaced by `to`.
+  // kValidRequest with `from` replaced by `to`.
   static std::string Replaced(const std::string& from, const std::string& to) {
-    std::string body = kGood;
+    std::string body = kValidRequest;
     const auto place = body.find(from);
     EXPECT_NE(place, std::string::npos) << from;
     return body.replace(place, from.size(), to);
@@ -84,7 +84,7 @@
 };
 
 TEST_F(CallerApiTest, SubmitsGoodRequestsAndRendersTheAnswer) {
-  const http::Response response = SendQuery(kGood);
+  const http::Response response = SendQuery(kValidRequest);
   ASSERT_EQ(submitted_.size(), 1U);
   EXPECT_EQ(submitted_[0],
             (query::CallerRequest{"1764691200000-4f2aB9c0", "counter-lookup",
@@ -106,7 +106,7 @@
                                                  .missing = {{0, 5}, {7, 9}},
                                                  .is_partial = true};
   EXPECT_THAT(
-      SendQuery(kGood).body,
+      SendQuery(kValidRequest).body,
       HasSubstr(R"("share":0.9999999,"shards_answered":1,"shards_total":2,)"
                 R"("missing":[{"low":0,"high":5},{"low":7,"high":9}],)"
                 R"("is_partial":true)"));
@@ -119,7 +119,7 @@
                       "queue \"full\""),
       base::Milliseconds(1500), query::RefusalKind::kOverload};
   answer_ = refused;
-  const http::Response response = SendQuery(kGood);
+  const http::Response response = SendQuery(kValidRequest);
   EXPECT_EQ(response.status, http::kTooManyRequests);
   EXPECT_EQ(response.headers.at("Retry-After"), "2");
   EXPECT_EQ(response.body,
@@ -128,7 +128,7 @@
             R"("detail":"shed: queue \"full\"","retry_after_ms":1500})");
   refused.kind = query::RefusalKind::kUnavailable;
   answer_ = refused;
-  EXPECT_EQ(SendQuery(kGood).status, http::kServiceUnavailable);
+  EXPECT_EQ(SendQuery(kValidRequest).status, http::kServiceUnavailable);
 }
 
 TEST_F(CallerApiTest, UnknownOutcomeIsNeverRefusal) {
@@ -136,7 +136,7 @@
       "1764691200000-4f2aB9c0",
       base::MakeError(base::ErrorCode::kTimeout, base::Step::kReadUpstream,
                       "10.0.0.1:80", "")};
-  const http::Response response = SendQuery(kGood);
+  const http::Response response = SendQuery(kValidRequest);
   EXPECT_EQ(response.status, http::kGatewayTimeout);
   EXPECT_EQ(response.body,
             R"({"request_id":"1764691200000-4f2aB9c0","outcome":"unknown",)"
@@ -149,7 +149,7 @@
   ExpectInvalid("{", "");
   ExpectInvalid("[1]", "");
   ExpectInvalid("null", "");
-  ExpectInvalid(std::string(kGood) + "x", "");
+  ExpectInvalid(std::string(kValidRequest) + "x", "");
   ExpectInvalid(Replaced("\"query\"", "\"querry\""), "querry");
   ExpectInvalid(Replaced("\"deadline_ms\":500,", ""), "deadline_ms");
   ExpectInvalid(Replaced("\"idempotent\":true",
@@ -198,7 +198,7 @@
   EXPECT_EQ(Send("GET", "/v1/query", "").status, http::kMethodNotAllowed);
   EXPECT_EQ(Send("GET", "/v1/query", "").headers.at("Allow"), "POST");
   EXPECT_EQ(Send("POST", "/v1/ready", "").status, http::kMethodNotAllowed);
-  EXPECT_EQ(Send("POST", "/", kGood).status, http::kNotFound);
+  EXPECT_EQ(Send("POST", "/", kValidRequest).status, http::kNotFound);
   EXPECT_TRUE(submitted_.empty());
 }
 
@@ -209,18 +209,18 @@
   const http::Response ready = Send("GET", "/v1/ready", "");
   EXPECT_EQ(ready.status, http::kServiceUnavailable);
   EXPECT_THAT(ready.body, HasSubstr("no targets learnt yet"));
-  const http::Response starting = SendQuery(kGood);
+  const http::Response starting = SendQuery(kValidRequest);
   EXPECT_EQ(starting.status, http::kServiceUnavailable);
   EXPECT_EQ(starting.headers.at("Retry-After"), "1");
   blackboard_.lifecycle.Write(
       {.state = blackboard::LifecycleState::kStopping, .reason = "stopping"});
-  EXPECT_THAT(SendQuery(kGood).body, HasSubstr(R"("step":"stop")"));
+  EXPECT_THAT(SendQuery(kValidRequest).body, HasSubstr(R"("step":"stop")"));
   EXPECT_TRUE(submitted_.empty());
 }
 
 TEST_F(CallerApiTest, AnswerForAnotherRequestIsNotPassedOn) {
   std::get<query::Answered>(answer_).request_id = "1764691200000-other000";
-  const http::Response response = SendQuery(kGood);
+  const http::Response response = SendQuery(kValidRequest);
   EXPECT_EQ(response.status, http::kGatewayTimeout);
   EXPECT_THAT(response.body, HasSubstr(R"("outcome":"unknown")"));
   EXPECT_THAT(response.body, testing::Not(HasSubstr("items")));
@@ -242,7 +242,7 @@
   http::Request request;
   request.method = "POST";
   request.path = "/v1/query";
-  request.body = kGood;
+  request.body = kValidRequest;
   std::vector<int> statuses;
   const auto respond = [&statuses](const http::Response& response) {
     statuses.push_back(response.status);
--- a/tests/caller_api/request_parser_property_test.cc
+++ b/tests/caller_api/request_parser_property_test.cc
@@ -12,7 +12,7 @@
 namespace medlarspread::caller_api {
 namespace {
 
-constexpr const char* kGood =
+constexpr const char* kValidRequest =
     R"({"request_id":"1764691200000-4f2aB9c0","class":"counter-lookup",)"
     R"("deadline_ms":500,"idempotent":true,"query":{"any":[1,"x"]}})";
 
@@ -33,7 +33,7 @@
 
 TEST(RequestParserPropertyTest, DamagedRequestsStayWithinTheRules) {
   EXPECT_TRUE(rc::check([] {
-    std::string body = kGood;
+    std::string body = kValidRequest;
     const auto edits = *rc::gen::inRange(1, 6);
     for (int i = 0; i < edits; ++i) {
       const auto place = *rc::gen::inRange<std::size_t>(0, body.size());
