--- a/tests/caller_api/request_parser_property_test.cc
+++ b/tests/caller_api/request_parser_property_test.cc
@@ -16,7 +16,7 @@
     R"({"request_id":"1764691200000-4f2aB9c0","class":"counter-lookup",)"
     R"("deadline_ms":500,"idempotent":true,"query":{"any":[1,"x"]}})";
 
-bool IsAllowed(const ParsedRequest& parsed) {
+bool IsValidOrRejected(const ParsedRequest& parsed) {
   const auto* request = std::get_if<query::CallerRequest>(&parsed);
   return request == nullptr ||
          (!request->class_name.empty() && !request->query.empty() &&
@@ -40,7 +40,7 @@
       const auto length = *rc::gen::inRange<std::size_t>(0, 4);
       body.replace(place, length, *rc::gen::arbitrary<std::string>());
     }
-    RC_ASSERT(IsAllowed(ParseCallerRequest(body)));
+    RC_ASSERT(IsValidOrRejected(ParseCallerRequest(body)));
   }));
 }
 
