--- a/src/caller_api/answer_renderer.cc
+++ b/src/caller_api/answer_renderer.cc
@@ -1,5 +1,5 @@
-// One function per kind of answer. The items are JSON text already and are
-// copied unread; everything else is quoted here.
+// Renders each kind of answer. The items are already JSON and are copied
+// without parsing; all other values are quoted here.
 
 #include "src/caller_api/answer_renderer.h"
 
@@ -15,7 +15,7 @@
 using base::JsonNumber;
 using base::JsonString;
 
-std::string ShowRanges(const std::vector<blackboard::KeyRange>& ranges) {
+std::string FormatRanges(const std::vector<blackboard::KeyRange>& ranges) {
   std::string text = "[";
   for (const blackboard::KeyRange& range : ranges) {
     text += text.size() > 1 ? "," : "";
@@ -25,25 +25,25 @@
   return text + "]";
 }
 
-std::string ShowCoverage(const query::Coverage& coverage) {
-  // A partial answer never passes as complete: the share is written with as
-  // many digits as it takes to tell it from 1.
+std::string FormatCoverage(const query::Coverage& coverage) {
+  // A partial answer must not look complete, so the share is written with
+  // enough digits to differ from 1.
   assert(coverage.is_partial ||
          (coverage.share == 1.0 && coverage.missing.empty()));
   return R"({"share":)" + JsonNumber(coverage.share) +
          R"(,"shards_answered":)" + std::to_string(coverage.shards_answered) +
          R"(,"shards_total":)" + std::to_string(coverage.shards_total) +
-         R"(,"missing":)" + ShowRanges(coverage.missing) + R"(,"is_partial":)" +
-         (coverage.is_partial ? "true" : "false") + "}";
+         R"(,"missing":)" + FormatRanges(coverage.missing) +
+         R"(,"is_partial":)" + (coverage.is_partial ? "true" : "false") + "}";
 }
 
-std::string ShowSnapshot(const blackboard::Snapshot& snapshot) {
+std::string FormatSnapshot(const blackboard::Snapshot& snapshot) {
   return R"({"index_version":)" + std::to_string(snapshot.index_version) +
          R"(,"layout_version":)" + std::to_string(snapshot.layout_version) +
          "}";
 }
 
-std::string ShowOrigin(const base::Error& error) {
+std::string FormatErrorOrigin(const base::Error& error) {
   const std::string code = error.code.message();
   const std::string detail =
       error.detail.empty() ? code : code + ": " + error.detail;
@@ -60,8 +60,8 @@
     http::Response response;
     response.body = R"({"request_id":)" + JsonString(answer.request_id) +
                     R"(,"outcome":"answered","snapshot":)" +
-                    ShowSnapshot(answer.snapshot) + R"(,"coverage":)" +
-                    ShowCoverage(answer.coverage) + R"(,"latency_ms":)" +
+                    FormatSnapshot(answer.snapshot) + R"(,"coverage":)" +
+                    FormatCoverage(answer.coverage) + R"(,"latency_ms":)" +
                     JsonNumber(base::ToMilliseconds(answer.latency)) +
                     R"(,"items":)" + answer.items + "}";
     return response;
@@ -76,8 +76,8 @@
         std::chrono::ceil<std::chrono::seconds>(answer.retry_after).count());
     response.body =
         R"({"request_id":)" + JsonString(answer.request_id) +
-        R"(,"outcome":"refused","ran":false,)" + ShowOrigin(answer.error) +
-        R"(,"retry_after_ms":)" +
+        R"(,"outcome":"refused","ran":false,)" +
+        FormatErrorOrigin(answer.error) + R"(,"retry_after_ms":)" +
         std::to_string(ToMillisecondsRoundedUp(answer.retry_after)) + "}";
     return response;
   }
@@ -86,7 +86,8 @@
     http::Response response;
     response.status = http::kGatewayTimeout;
     response.body = R"({"request_id":)" + JsonString(answer.request_id) +
-                    R"(,"outcome":"unknown",)" + ShowOrigin(answer.error) + "}";
+                    R"(,"outcome":"unknown",)" +
+                    FormatErrorOrigin(answer.error) + "}";
     return response;
   }
 };
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -1,4 +1,4 @@
-// The order in which a daemon is put together and taken down.
+// Startup and shutdown order of the daemon's parts.
 
 #include "src/daemon/daemon.h"
 
@@ -17,13 +17,13 @@
 
 constexpr Duration kReadinessInterval = base::Milliseconds(50);
 constexpr double kPercent = 100.0;
-constexpr auto kStopPoll = std::chrono::milliseconds(20);
-// How long peers may need to hear that this daemon leaves, before its queues
-// are refused to them.
-constexpr Duration kLeaveNotice = base::Milliseconds(500);
-// How long requests may take to arrive on connections that are open when no
-// more are accepted.
-constexpr Duration kCloseNotice = base::Milliseconds(200);
+constexpr auto kStopPollInterval = std::chrono::milliseconds(20);
+// Time for peers to learn that this daemon is leaving, before it rejects their
+// sub-queries.
+constexpr Duration kLeavePropagationDelay = base::Milliseconds(500);
+// After the listener stops accepting connections, requests on connections that
+// are already open are still expected for this long.
+constexpr Duration kOpenConnectionGrace = base::Milliseconds(200);
 
 routing::Policy MakePolicy(const settings::RoutingSettings& settings) {
   switch (settings.policy) {
@@ -37,15 +37,15 @@
   return routing::QueueOwnerPolicy{settings.bundles_per_collection};
 }
 
-// What keeps a daemon from being ready, or nothing.
-std::string FindObstacle(const blackboard::Blackboard& blackboard,
-                         const targets::TargetsController& targets) {
+// Why the daemon is not ready yet; empty if it is.
+std::string FindReadinessBlocker(const blackboard::Blackboard& blackboard,
+                                 const targets::TargetsController& targets) {
   const auto membership = blackboard.membership.Read();
   if (!membership->members.contains(membership->self)) {
-    return "membership has not settled";
+    return "membership is not established yet";
   }
   if (!targets.is_ready()) {
-    return "targets have not been learnt";
+    return "targets are not loaded yet";
   }
   if (blackboard.upstreams.Read()->upstreams.empty()) {
     return "no upstream is known";
@@ -75,13 +75,13 @@
   network_ = std::make_unique<peer::PeerNetwork>(
       network, http::TrafficContext(), blackboard_,
       [this](const peer::Sender& sender, const peer::Message& message) {
-        if (auto* router = router_slot_.load()) {
+        if (auto* router = active_router_.load()) {
           router->DidReceive(sender, message);
         }
       },
       [this](const std::string& peer) {
         metering_.DidLosePeer();
-        if (auto* router = router_slot_.load()) {
+        if (auto* router = active_router_.load()) {
           router->DidLosePeer(peer);
         }
       },
@@ -105,7 +105,7 @@
   ports.leaves = controllers_->leaves().port();
   ports.observe = [this](const std::string& name,
                          const upstream::LeafReply& reply) {
-    metering_.DidHearLeaf(reply);
+    metering_.DidReceiveLeafReply(reply);
     controllers_->upstreams().Observe(name, reply);
   };
   ports.peers = network_->port();
@@ -121,7 +121,7 @@
       controllers_->membership(), controllers_->targets(),
       controllers_->claims(), traffic_->sub_query_client(),
       traffic_->sub_query_server());
-  router_slot_ = router_.get();
+  active_router_ = router_.get();
   controllers_->Start();
   control_.runner().Post([this] { CheckReadiness(); });
   if (auto opened = OpenListeners(); !opened.is_ok()) {
@@ -175,14 +175,14 @@
     return;
   }
   const auto before = blackboard_.lifecycle.Read();
-  const std::string obstacle =
-      FindObstacle(blackboard_, controllers_->targets());
-  // NOTE: a ready daemon stays ready. It goes on with what it knows when the
-  // platform or its peers are away.
+  const std::string blocker =
+      FindReadinessBlocker(blackboard_, controllers_->targets());
+  // NOTE: a ready daemon stays ready. When the platform or its peers are
+  // unavailable, it continues with its last known state.
   if (before->state == LifecycleState::kStarting) {
     const auto state =
-        obstacle.empty() ? LifecycleState::kReady : LifecycleState::kStarting;
-    blackboard_.lifecycle.Write({state, obstacle});
+        blocker.empty() ? LifecycleState::kReady : LifecycleState::kStarting;
+    blackboard_.lifecycle.Write({state, blocker});
     if (state == LifecycleState::kReady) {
       log_.Write({.level = base::LogLevel::kInfo,
                   .step = base::Step::kAdmit,
@@ -195,21 +195,21 @@
 bool Daemon::RunUntil(const std::atomic<bool>& should_stop,
                       const std::atomic<bool>& should_end_now) {
   while (!should_stop && !controllers_->is_replaced()) {
-    std::this_thread::sleep_for(kStopPoll);
+    std::this_thread::sleep_for(kStopPollInterval);
   }
   GracefulStop stop(clock_, log_, settings_.stop.bound);
-  const bool is_whole = stop.Run(MakeStopSteps(), should_end_now);
+  const bool is_clean = stop.Run(MakeStopSteps(), should_end_now);
   controllers_->Stop();
   network_->Close();
-  return is_whole;
+  return is_clean;
 }
 
-// The steps of graceful_stop.h.
+// The steps are explained at the top of graceful_stop.h.
 std::vector<StopStep> Daemon::MakeStopSteps() {
   auto are_claims_settled = std::make_shared<std::atomic<bool>>(false);
   auto are_counts_written = std::make_shared<std::atomic<bool>>(false);
   return {
-      {"tell balancer and peers",
+      {"notify load balancer and peers",
        [this] {
          is_stopping_ = true;
          blackboard_.lifecycle.Write(
@@ -217,15 +217,15 @@
          controllers_->membership().Leave();
        },
        [] { return 0; }},
-      {"finish callers' requests",
+      {"finish requests of callers",
        [this] { traffic_->queries().StopAccepting(); },
        [this] {
          return traffic_->queries().in_flight() + callers_->in_flight();
        },
-       kLeaveNotice},
-      {"close the callers' listener", [this] { callers_->StopAccepting(); },
-       [this] { return callers_->in_flight(); }, kCloseNotice},
-      {"finish peers' sub-queries",
+       kLeavePropagationDelay},
+      {"close listener for callers", [this] { callers_->StopAccepting(); },
+       [this] { return callers_->in_flight(); }, kOpenConnectionGrace},
+      {"finish sub-queries of peers",
        [this] { traffic_->sub_query_server().StopAccepting(); },
        [this] { return traffic_->sub_query_server().in_flight(); }},
       {"settle claims",
@@ -234,7 +234,7 @@
              [are_claims_settled] { *are_claims_settled = true; });
        },
        [are_claims_settled] { return *are_claims_settled ? 0 : 1; }},
-      {"write counts",
+      {"write error budget counts",
        [this, are_counts_written] {
          controllers_->burn().Stop(
              [are_counts_written] { *are_counts_written = true; });
--- a/src/daemon/metering.cc
+++ b/src/daemon/metering.cc
@@ -1,4 +1,4 @@
-// Translation of events into counters and distributions.
+// Maps traffic events to counters and distributions.
 
 #include "src/daemon/metering.h"
 
@@ -29,7 +29,7 @@
   }
 }
 
-void Metering::DidHearLeaf(const upstream::LeafReply& reply) {
+void Metering::DidReceiveLeafReply(const upstream::LeafReply& reply) {
   registry_.Count(Counter::kUpstreamSends);
   if (reply.outcome == LeafOutcome::kAnswered) {
     registry_.Count(Counter::kUpstreamAnswers);
--- a/src/daemon/opaque_daemon.cc
+++ b/src/daemon/opaque_daemon.cc
@@ -1,4 +1,4 @@
-// The order in which the parts are made, and the steps of a stop.
+// Startup order of the daemon's parts and the steps of a graceful shutdown.
 
 #include "src/daemon/opaque_daemon.h"
 
@@ -21,28 +21,32 @@
 using blackboard::LifecycleState;
 
 constexpr int kHttpVersion = 11;
-// The balancer asks each second and needs two refusals.
-constexpr base::Duration kBalancerNotice = base::Milliseconds(2'800);
-// What is left of the bound for the process to end by itself.
-constexpr base::Duration kEndMargin = base::Milliseconds(500);
-constexpr base::Duration kEndPoll = base::Milliseconds(20);
-// Settings files may change without a signal; reading a file's time of change
-// costs one system call.
-constexpr base::Duration kSettingsInterval = base::Milliseconds(3'000);
+// The load balancer checks readiness every second and moves callers elsewhere
+// after two failed checks.
+constexpr base::Duration kLoadBalancerDelay = base::Milliseconds(2'800);
+// The part of the shutdown timeout that is reserved for the exit of the
+// process.
+constexpr base::Duration kExitMargin = base::Milliseconds(500);
+constexpr base::Duration kDrainPollInterval = base::Milliseconds(20);
+// How often the settings file is checked: it may change without a signal, and
+// reading its modification time costs one system call.
+constexpr base::Duration kSettingsCheckInterval = base::Milliseconds(3'000);
 constexpr base::Duration kPruneInterval = base::Milliseconds(1'000);
-// Of the connections of a leaf: the rest is for daemons that have just joined.
-constexpr double kPlannedConnections = 0.9;
-// Connections to one peer, each with one request at a time. An entry hands
-// over a few requests a second, each of which takes a tenth of one; probes have
-// a connection of their own.
+// Share of a leaf's connections that the known daemons divide among themselves;
+// the rest is for daemons that have just joined.
+constexpr double kPlannedConnectionShare = 0.9;
+// Connections to one peer, each with one request at a time. A daemon delegates
+// a few requests a second to a peer, each of which takes a tenth of a second;
+// probes use a separate connection.
 constexpr int kPeerConnections = 16;
-// A peer hands over the headers and the body of a caller, which it has checked.
+// A peer forwards the headers and the body of a caller's request, whose size it
+// has already checked.
 constexpr std::size_t kPeerHeaderBytes = 256 << 10;
 constexpr std::size_t kPeerBodyBytes = 64 << 20;
 // How long the host of a leaf whose connection was lost may take to accept or
-// refuse another: some ways to the farthest region and back.
+// refuse a new one: several round trips to the farthest region.
 constexpr base::Duration kPortCheckTimeout = base::Milliseconds(400);
-// Entries that have no requests for a while keep their connections.
+// Long enough for peers without requests for a while to keep connections open.
 constexpr base::Duration kPeerIdleTimeout = base::Milliseconds(60'000);
 
 http1::MessageLimits ToLimits(const blackboard::CallerLimits& limits) {
@@ -81,18 +85,19 @@
                    store_calls_.source(),
                    blackboard_,
                    log_),
-      leaves_(traffic_context_,
-              clock_,
-              traffic_,
-              platform::MakeLeafCodec(),
-              [this](const blackboard::Upstream& upstream) {
-                return ConnectionShare(upstream);
-              }),
-      peers_(traffic_context_,
-             clock_,
-             traffic_,
-             platform::MakePeerCodec(),
-             [](const blackboard::Upstream&) { return kPeerConnections; }),
+      leaf_client_(traffic_context_,
+                   clock_,
+                   traffic_,
+                   platform::MakeLeafCodec(),
+                   [this](const blackboard::Upstream& upstream) {
+                     return ConnectionShare(upstream);
+                   }),
+      peer_client_(
+          traffic_context_,
+          clock_,
+          traffic_,
+          platform::MakePeerCodec(),
+          [](const blackboard::Upstream&) { return kPeerConnections; }),
       tracker_(std::make_shared<routing::LeafTracker>(
           routing::DaemonLocation{settings_.vm.region,
                                   settings_.vm.failure_domain},
@@ -119,9 +124,9 @@
           [this](const std::string& bytes, const std::string& peer) {
             reports_->DidReceive(bytes, peer);
           })),
-      reports_(MakeReports()) {}
+      reports_(MakeReportExchange()) {}
 
-std::shared_ptr<gossip::ReportExchange> OpaqueDaemon::MakeReports() {
+std::shared_ptr<gossip::ReportExchange> OpaqueDaemon::MakeReportExchange() {
   return std::make_shared<gossip::ReportExchange>(
       clock_, traffic_, random_, blackboard_,
       gossip::ReportPorts{
@@ -169,26 +174,26 @@
 }
 
 query::ForwardService::Ports OpaqueDaemon::MakeQueryPorts() {
-  return {leaves_.port(),
-          peers_.port(),
+  return {leaf_client_.port(),
+          peer_client_.port(),
           [this](const burn::RequestRecord& record) { Record(record); },
           [this](int sends) {
             metrics_.Count(metrics::Counter::kUpstreamSends, sends);
             metrics_.Count(metrics::Counter::kRequestsFannedOutForPeers);
           },
           [this](const query::ShardAttempt& attempt) { CountRepeat(attempt); },
-          [this](upstream::LeafOutcome outcome) { CountEnd(outcome); },
+          [this](upstream::LeafOutcome outcome) { CountLeafOutcome(outcome); },
           [this] { metrics_.Count(metrics::Counter::kRequestsQuarantined); }};
 }
 
 base::Status OpaqueDaemon::Start() {
-  callers_ = MakeCallers();
-  readiness_ = MakePage(settings_.callers.readiness_address,
-                        [this] { return RenderReadiness(); });
-  metrics_page_ =
-      MakePage(settings_.operators.address, [this] { return RenderMetrics(); });
+  callers_ = MakeCallerListener();
+  readiness_ = MakePageListener(settings_.callers.readiness_address,
+                                [this] { return RenderReadiness(); });
+  metrics_page_ = MakePageListener(settings_.operators.address,
+                                   [this] { return RenderMetrics(); });
   if (!settings_.peers.query_address.empty()) {
-    peer_listener_ = MakePeers();
+    peer_listener_ = MakePeerListener();
   }
   for (const auto& listener :
        {callers_, readiness_, metrics_page_, peer_listener_}) {
@@ -220,8 +225,8 @@
               .step = base::Step::kListen,
               .peer = settings_.callers.address,
               .message = "started"});
-  // NOTE: only now, since the ready line goes to the stream of the log, which
-  // the control thread would write to at the same time.
+  // NOTE: started only after Announce(), which writes to the log's stream: the
+  // control thread would write to it at the same time.
   control_.runner().Post([this] { controllers_.Start(); });
   return base::Done{};
 }
@@ -252,7 +257,7 @@
   traffic_context_.run();
 }
 
-std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakeCallers() {
+std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakeCallerListener() {
   http1::CallerListener::Settings listener;
   listener.address = settings_.callers.address;
   listener.limits = [this] {
@@ -263,11 +268,11 @@
     auto incoming = platform::DecodeRequest(std::move(request));
     if (!incoming.is_ok()) {
       metrics_.Count(metrics::Counter::kRequestsInvalid);
-      log_.DidFail(incoming.error(), "refused an invalid request");
+      log_.DidFail(incoming.error(), "rejected an invalid request");
       respond(platform::EncodeInvalid(incoming.error()));
       return [] {};
     }
-    TakeOffWait(incoming.value());
+    DeductWaitTime(incoming.value());
     return queries_.Submit(
         std::move(incoming.value()),
         [respond = std::move(respond)](query::ForwardedAnswer answer) {
@@ -295,9 +300,10 @@
           respond(platform::EncodePartAnswer(std::move(answer)));
         });
   };
-  // NOTE: in the first turn the connection reads on, in the second it has heard
-  // whether the part is still needed: who waited for a daemon that stood still
-  // has closed it long ago, and no leaf must work for it.
+  // NOTE: submits after two rounds of the event loop. The first lets the
+  // connection continue to read; by the second it has noticed whether the peer
+  // closed it. If this daemon was frozen, the peer has given up on the request
+  // long ago, and no leaf must work on it.
   boost::asio::post(traffic_context_, [this, submit] {
     boost::asio::post(traffic_context_, submit);
   });
@@ -307,14 +313,14 @@
   };
 }
 
-void OpaqueDaemon::TakeOffWait(query::IncomingRequest& request) {
+void OpaqueDaemon::DeductWaitTime(query::IncomingRequest& request) {
   request.waited = traffic_lag_.Estimate();
   if (request.deadline) {
     *request.deadline -= request.waited;
   }
 }
 
-std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePeers() {
+std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePeerListener() {
   http1::CallerListener::Settings listener;
   listener.address = settings_.peers.query_address;
   listener.limits = [] {
@@ -328,7 +334,7 @@
                            http1::Respond respond) -> http1::Abandon {
     auto decoded = platform::DecodePeerMessage(std::move(request));
     if (!decoded.is_ok()) {
-      log_.DidFail(decoded.error(), "refused an invalid request of a peer");
+      log_.DidFail(decoded.error(), "rejected an invalid request from a peer");
       respond(platform::EncodeInvalid(decoded.error()));
       return [] {};
     }
@@ -339,16 +345,15 @@
           queries_.CheckPart(probe.request_id, probe.most_missing)));
       return [] {};
     }
-    // A daemon that stood still reads what it was handed long after it was
-    // sent.
-    TakeOffWait(*incoming);
+    // A daemon that was frozen reads a request long after it was sent.
+    DeductWaitTime(*incoming);
     return SubmitPart(std::move(*incoming), std::move(respond));
   };
   return std::make_shared<http1::CallerListener>(traffic_context_,
                                                  std::move(listener), clock_);
 }
 
-std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePage(
+std::shared_ptr<http1::CallerListener> OpaqueDaemon::MakePageListener(
     const std::string& address,
     std::function<http1::Response()> render) {
   http1::CallerListener::Settings listener;
@@ -387,7 +392,7 @@
 
 double OpaqueDaemon::ConnectionShare(
     const blackboard::Upstream& upstream) const {
-  return kPlannedConnections * upstream.connections *
+  return kPlannedConnectionShare * upstream.connections *
          queries_.PartOf(upstream.collection);
 }
 
@@ -417,7 +422,7 @@
   metrics_.Count(counter);
 }
 
-void OpaqueDaemon::CountEnd(upstream::LeafOutcome outcome) {
+void OpaqueDaemon::CountLeafOutcome(upstream::LeafOutcome outcome) {
   using metrics::Counter;
   if (outcome == upstream::LeafOutcome::kAnswered) {
     metrics_.Count(Counter::kUpstreamAnswers);
@@ -433,9 +438,9 @@
 void OpaqueDaemon::PruneConnections() {
   traffic_lag_.ExpectTick(clock_.Now() + kPruneInterval);
   traffic_.After(kPruneInterval, [this] {
-    leaves_.Prune(*blackboard_.upstreams.Read());
+    leaf_client_.Prune(*blackboard_.upstreams.Read());
     if (settings_.measuring.without != base::Mechanism::kSpareConnections) {
-      leaves_.CloseSpare();
+      leaf_client_.CloseSpare();
     }
     PruneConnections();
   });
@@ -450,7 +455,7 @@
         if (signal == SIGHUP) {
           Reload("signal");
         } else if (stop_began_ == base::MonotonicTime{}) {
-          DidAskToStop();
+          StartGracefulStop();
         }
         WaitForSignal();
       });
@@ -459,14 +464,16 @@
 void OpaqueDaemon::Reload(const char* why) {
   auto loaded = settings::LoadSettings(settings_.file);
   if (!loaded.is_ok()) {
-    log_.DidFail(loaded.error(), "the settings stay as they were");
+    log_.DidFail(
+        loaded.error(),
+        "reloading the settings failed; keeping the previous settings");
     return;
   }
   settings_ = std::move(loaded.value());
   log_.set_level(settings_.log.level);
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kSettings,
-              .message = std::string("settings were read again: ") + why});
+              .message = std::string("reloaded the settings: ") + why});
 }
 
 void OpaqueDaemon::WatchSettingsFile() {
@@ -479,10 +486,10 @@
       Reload("the file has changed");
     }
   }
-  traffic_.After(kSettingsInterval, [this] { WatchSettingsFile(); });
+  traffic_.After(kSettingsCheckInterval, [this] { WatchSettingsFile(); });
 }
 
-void OpaqueDaemon::DidAskToStop() {
+void OpaqueDaemon::StartGracefulStop() {
   stop_began_ = clock_.Now();
   blackboard_.lifecycle.Write({LifecycleState::kStopping, "stopping"});
   log_.Write({.level = base::LogLevel::kInfo,
@@ -494,28 +501,29 @@
   if (peer_listener_) {
     peer_listener_->StartDraining();
   }
-  traffic_.After(kBalancerNotice, [this] { CloseCallers(); });
+  traffic_.After(kLoadBalancerDelay, [this] { CloseCallers(); });
 }
 
 void OpaqueDaemon::CloseCallers() {
   callers_->StopAccepting();
-  EndWhenDone();
+  ExitWhenDrained();
 }
 
-void OpaqueDaemon::EndWhenDone() {
+void OpaqueDaemon::ExitWhenDrained() {
   callers_->CloseIdle();
   const bool is_over =
-      clock_.Now() - stop_began_ > settings_.stop.bound - kEndMargin;
+      clock_.Now() - stop_began_ > settings_.stop.bound - kExitMargin;
   const bool is_in_work =
       callers_->connections() > 0 || queries_.in_flight() > 0;
   if (is_in_work && !is_over) {
-    traffic_.After(kEndPoll, [this] { EndWhenDone(); });
+    traffic_.After(kDrainPollInterval, [this] { ExitWhenDrained(); });
     return;
   }
   log_.Write({.level = base::LogLevel::kInfo,
               .step = base::Step::kStop,
               .message = "stopped; cut off " +
-                         std::to_string(callers_->in_work()) + " requests"});
+                         std::to_string(callers_->requests_in_flight()) +
+                         " requests"});
   reports_->Stop();
   datagrams_->Close();
   traffic_context_.stop();
--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -1,4 +1,4 @@
-// Hands each change in the store to the controller that it concerns.
+// Dispatches each change in the store to a controller by the key's prefix.
 
 #include "src/daemon/store_controllers.h"
 
@@ -17,10 +17,10 @@
 
 using blackboard::LifecycleState;
 
-// For a key that stays when this daemon is gone.
+// The lease of keys that must outlive this daemon.
 constexpr std::int64_t kNoLease = 0;
 
-// "domain=region" with commas between; checked when the settings were read.
+// Parses "domain=region,...", which was validated with the settings.
 std::map<std::string, std::string> ParseRegions(std::string text) {
   std::erase(text, ' ');
   std::map<std::string, std::string> regions;
@@ -44,9 +44,10 @@
   return self;
 }
 
-// A daemon that knew nobody at its start reads again when the stronger ones
-// have registered, and well before it would register itself.
-base::Duration FirstWait(const settings::VmSettings& vm) {
+// How long a daemon that found no other daemon at its start waits before it
+// reads the store again: VMs with a larger share of a processor have registered
+// by then, and it is well before this daemon would register itself.
+base::Duration InitialRereadDelay(const settings::VmSettings& vm) {
   constexpr int kPercent = 70;
   return membership::RegistrationDelay({}, vm.processor_share) * kPercent / 100;
 }
@@ -103,12 +104,12 @@
           },
           blackboard,
           log)),
-      known_(clock.Now().microseconds),
+      event_log_(clock.Now().microseconds),
       news_(std::make_shared<relay::UpdateReader>(
           relay::UpdateReaderSettings{
               {settings.vm.name, settings.vm.failure_domain,
                ParseAddresses(settings.peers.seeds)},
-              FirstWait(settings.vm)},
+              InitialRereadDelay(settings.vm)},
           clock,
           control,
           store,
@@ -121,16 +122,16 @@
           [this] { DidRestoreStore(); },
           log)),
       news_server_(std::make_shared<relay::UpdateServer>(
-          known_,
+          event_log_,
           control,
           [news = news_] { return news->freshness(); },
           [this](const std::string& entry) {
             registration_->DidHearFollower(entry);
           })),
-      peers_(MakePeerListener(context,
-                              settings.peers.address,
-                              news_server_,
-                              clock)),
+      peer_listener_(MakePeerListener(context,
+                                      settings.peers.address,
+                                      news_server_,
+                                      clock)),
       registration_(std::make_shared<membership::LeaseRegistration>(
           membership::LeaseRegistrationSettings{},
           MakeSelf(settings),
@@ -153,7 +154,9 @@
           std::move(random),
           control,
           news_->source(),
-          [this](const store::Position& position) { known_.DidList(position); },
+          [this](const store::Position& position) {
+            event_log_.DidList(position);
+          },
           [this](const std::vector<store::Event>& events) {
             DidChange(events);
           },
@@ -194,16 +197,16 @@
   leaves_.Publish();
   registration_->Publish();
   CheckReadiness();
-  known_.Append(events);
+  event_log_.Append(events);
   news_server_->DidAppend();
 }
 
 void StoreControllers::DidReach(const store::Position& position) {
-  const bool is_restored = position.era > known_.position().era;
-  known_.DidReach(position);
-  blackboard_.store.Write(known_.position());
+  const bool is_restored = position.era > event_log_.position().era;
+  event_log_.DidReach(position);
+  blackboard_.store.Write(event_log_.position());
   if (is_restored) {
-    // Those that follow this daemon learn of the era even if nothing changed.
+    // Tells the followers of the new era even if no key has changed.
     news_server_->DidAppend();
   }
 }
@@ -236,8 +239,8 @@
   if (!event.value) {
     log_.Write({.level = base::LogLevel::kWarning,
                 .step = base::Step::kTargets,
-                .message = "the configuration was removed; the last one stays "
-                           "in force"});
+                .message = "the configuration was removed from the store; "
+                           "keeping the last one"});
     return;
   }
   const auto freshness = news_->freshness();
--- a/src/http/listening_socket.cc
+++ b/src/http/listening_socket.cc
@@ -1,4 +1,4 @@
-// Finds the socket among the process's open descriptors.
+// Finds the socket among the process's open file descriptors.
 
 #include "src/http/listening_socket.h"
 
@@ -24,7 +24,7 @@
          is_listening != 0;
 }
 
-// "ip:port" of an IPv4 socket, or nothing.
+// "ip:port" of an IPv4 socket, or an empty string.
 std::string AddressOf(int descriptor) {
   sockaddr_in address{};
   socklen_t size = sizeof(address);
@@ -38,8 +38,9 @@
   return std::string(text) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-// A listening socket on a loopback port that nobody is told, or -1.
-int OpenSilentSocket() {
+// Returns a listening socket on a random loopback port that no client knows, or
+// -1.
+int OpenIdleSocket() {
   const int descriptor =
       socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
@@ -54,17 +55,19 @@
   return -1;
 }
 
-// NOTE: shutdown() would not do. The library answers a failed accept with
-// another one at once and without end, which takes a whole thread and reads the
-// listener after it was destroyed. A silent socket in its place leaves the
-// library waiting; the old one is closed by the exchange.
-void Silence(int descriptor) {
-  const int silent = OpenSilentSocket();
-  if (silent < 0) {
+// Replaces the listening socket with one that gets no connections; dup3()
+// closes the old one.
+//
+// NOTE: shutdown() doesn't work here. After a failed accept the library retries
+// at once and forever, which occupies a thread and reads the listener after it
+// was destroyed. With the idle socket the library's accept stays pending.
+void ReplaceWithIdleSocket(int descriptor) {
+  const int idle = OpenIdleSocket();
+  if (idle < 0) {
     return;
   }
-  dup3(silent, descriptor, O_CLOEXEC);
-  close(silent);
+  dup3(idle, descriptor, O_CLOEXEC);
+  close(idle);
 }
 
 }  // namespace
@@ -75,7 +78,7 @@
        std::filesystem::directory_iterator("/proc/self/fd", ignored)) {
     const int descriptor = std::atoi(entry.path().filename().c_str());
     if (IsListening(descriptor) && AddressOf(descriptor) == address) {
-      Silence(descriptor);
+      ReplaceWithIdleSocket(descriptor);
     }
   }
 }
--- a/src/http1/caller_connection.cc
+++ b/src/http1/caller_connection.cc
@@ -1,4 +1,4 @@
-// The state of one caller's connection.
+// Reads, parses and answers the requests of one connection.
 
 #include "src/http1/caller_connection.h"
 
@@ -17,13 +17,14 @@
 namespace http = boost::beast::http;
 
 constexpr std::size_t kReadBytes = 4096;
-// Requests that a caller may send ahead while one is in work. Above it the
-// connection is not read on, and a close is noticed later.
-constexpr std::size_t kMostBytesAhead = 64 << 10;
-// How long a caller's host may be silent while bytes for it wait.
-constexpr base::Duration kSilence = base::Milliseconds(4'000);
-// Callers may use a connection until its idle time is over; what they sent
-// last must still find it open.
+// Limit on buffered bytes of pipelined requests. Above it the connection is not
+// read, so that a disconnect is detected only later.
+constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
+// How long bytes sent to a caller may stay unacknowledged before the connection
+// is closed.
+constexpr base::Duration kSilenceTimeout = base::Milliseconds(4'000);
+// Added to the idle timeout: callers may send a request until the timeout ends,
+// and the connection must still be open when the request arrives.
 constexpr base::Duration kIdleMargin = base::Milliseconds(1'000);
 
 Response MakeEmpty(Status status) {
@@ -43,7 +44,7 @@
       last_activity_(clock_.Now()) {}
 
 void CallerConnection::Start() {
-  SetSocketOptions(socket_, kSilence);
+  SetSocketOptions(socket_, kSilenceTimeout);
   StartParser();
   Read();
 }
@@ -56,7 +57,7 @@
   const base::MonotonicTime now = clock_.Now();
   const bool has_begun = parser_->got_some();
   if (has_begun && !parser_->is_header_done() &&
-      now - request_began_ > limits.header_timeout) {
+      now - request_start_ > limits.header_timeout) {
     Refuse(Status::request_timeout);
     return;
   }
@@ -72,7 +73,7 @@
 }
 
 void CallerConnection::Read() {
-  if (is_read_pending_ || is_closed_ || buffer_.size() > kMostBytesAhead) {
+  if (is_read_pending_ || is_closed_ || buffer_.size() > kMaxPipelinedBytes) {
     return;
   }
   is_read_pending_ = true;
@@ -92,7 +93,7 @@
   }
   buffer_.commit(size);
   if (error) {
-    DidLeave();
+    DidDisconnect();
     return;
   }
   last_activity_ = clock_.Now();
@@ -108,19 +109,19 @@
   parser_->eager(true);
   parser_->header_limit(static_cast<std::uint32_t>(limits.header_bytes));
   parser_->body_limit(limits.body_bytes);
-  was_continued_ = false;
+  sent_continue_ = false;
 }
 
 void CallerConnection::Parse() {
   while (state_ == State::kReading && buffer_.size() > 0 && !is_closed_) {
     if (!parser_->got_some()) {
-      request_began_ = clock_.Now();
+      request_start_ = clock_.Now();
     }
     boost::system::error_code error;
     const std::size_t used = parser_->put(buffer_.data(), error);
     buffer_.consume(used);
     if (error == http::error::need_more) {
-      ContinueIfAsked();
+      SendContinueIfExpected();
       return;
     }
     if (error) {
@@ -128,20 +129,20 @@
       return;
     }
     if (!parser_->is_done()) {
-      ContinueIfAsked();
+      SendContinueIfExpected();
       continue;
     }
     DidParse();
   }
 }
 
-void CallerConnection::ContinueIfAsked() {
-  if (was_continued_ || !parser_->is_header_done() ||
+void CallerConnection::SendContinueIfExpected() {
+  if (sent_continue_ || !parser_->is_header_done() ||
       !boost::beast::iequals(parser_->get()[http::field::expect],
                              "100-continue")) {
     return;
   }
-  was_continued_ = true;
+  sent_continue_ = true;
   auto text =
       std::make_shared<const std::string>("HTTP/1.1 100 Continue\r\n\r\n");
   boost::asio::async_write(
@@ -149,7 +150,7 @@
       [self = shared_from_this(), text](const boost::system::error_code& error,
                                         std::size_t) {
         if (error) {
-          self->DidLeave();
+          self->DidDisconnect();
         }
       });
 }
@@ -165,7 +166,7 @@
                         [self = shared_from_this(), number](Response response) {
                           self->DidRespond(number, std::move(response));
                         });
-  // The handler may have answered already.
+  // The handler may already have responded.
   if (state_ == State::kWorking && number == request_) {
     abandon_ = std::move(abandon);
   }
@@ -196,8 +197,8 @@
 
 void CallerConnection::Write(Response response, bool should_close) {
   state_ = State::kWriting;
-  // NOTE: the answer of a leaf to HEAD names a length without a body; the
-  // serializer would wait for that body.
+  // NOTE: a leaf's response to HEAD has a Content-Length but no body. Only the
+  // header is written then, because the serializer would wait for the body.
   auto message = std::make_shared<Response>(std::move(response));
   message->keep_alive(!should_close);
   auto serializer =
@@ -231,7 +232,7 @@
   Read();
 }
 
-void CallerConnection::DidLeave() {
+void CallerConnection::DidDisconnect() {
   if (auto abandon = std::exchange(abandon_, nullptr)) {
     abandon();
   }
--- a/src/http1/caller_listener.cc
+++ b/src/http1/caller_listener.cc
@@ -1,4 +1,4 @@
-// The acceptor and the timeouts of callers' connections.
+// The accept loop and the periodic check of the connections' timeouts.
 
 #include "src/http1/caller_listener.h"
 
@@ -14,17 +14,19 @@
 
 using boost::asio::ip::tcp;
 
-// How often timeouts are looked at; they are seconds long.
-constexpr auto kSweepInterval = std::chrono::milliseconds(500);
-// After an accept that failed for want of descriptors.
-constexpr auto kAcceptPause = std::chrono::milliseconds(20);
+// How often timeouts are checked. The timeouts themselves are seconds long.
+constexpr auto kTimeoutCheckInterval = std::chrono::milliseconds(500);
+// Delay after a failed accept, which is mostly due to a lack of file
+// descriptors.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 }  // namespace
 
 base::Result<tcp::endpoint> ParseEndpoint(const std::string& address) {
   const auto invalid = [&address] {
     return base::MakeError(base::ErrorCode::kInvalidArgument,
-                           base::Step::kListen, address, "not ip:port");
+                           base::Step::kListen, address,
+                           "not an ip:port address");
   };
   const auto colon = address.rfind(':');
   if (colon == std::string::npos) {
@@ -49,7 +51,7 @@
       settings_(std::move(settings)),
       clock_(std::move(clock)),
       acceptor_(context),
-      sweep_timer_(context) {}
+      timeout_check_timer_(context) {}
 
 base::Status CallerListener::Open() {
   const auto endpoint = ParseEndpoint(settings_.address);
@@ -81,7 +83,7 @@
   connection_settings_ =
       std::make_shared<const CallerConnection::Settings>(std::move(connection));
   Accept();
-  Sweep();
+  ScheduleTimeoutCheck();
   return base::Done{};
 }
 
@@ -107,10 +109,10 @@
   }
 }
 
-std::size_t CallerListener::in_work() const {
+std::size_t CallerListener::requests_in_flight() const {
   return static_cast<std::size_t>(std::count_if(
       connections_.begin(), connections_.end(),
-      [](const auto& connection) { return connection->is_in_work(); }));
+      [](const auto& connection) { return connection->is_busy(); }));
 }
 
 std::uint16_t CallerListener::port() const {
@@ -131,7 +133,7 @@
           return;
         }
         auto timer = std::make_shared<base::BootTimer>(self->context_);
-        timer->expires_after(kAcceptPause);
+        timer->expires_after(kAcceptRetryDelay);
         timer->async_wait([self, timer](const boost::system::error_code&) {
           if (self->acceptor_.is_open()) {
             self->Accept();
@@ -141,7 +143,7 @@
 }
 
 void CallerListener::DidAccept(tcp::socket socket) {
-  if (connections_.size() >= settings_.most_connections) {
+  if (connections_.size() >= settings_.max_connections) {
     return;
   }
   auto connection = std::make_shared<CallerConnection>(
@@ -150,9 +152,9 @@
   connection->Start();
 }
 
-void CallerListener::Sweep() {
-  sweep_timer_.expires_after(kSweepInterval);
-  sweep_timer_.async_wait(
+void CallerListener::ScheduleTimeoutCheck() {
+  timeout_check_timer_.expires_after(kTimeoutCheckInterval);
+  timeout_check_timer_.async_wait(
       [self = shared_from_this()](const boost::system::error_code& error) {
         if (error) {
           return;
@@ -162,7 +164,7 @@
         for (const auto& connection : all) {
           connection->CheckTimeouts();
         }
-        self->Sweep();
+        self->ScheduleTimeoutCheck();
       });
 }
 
--- a/src/http1/message.cc
+++ b/src/http1/message.cc
@@ -1,4 +1,4 @@
-// The hop-by-hop fields of HTTP/1.1.
+// Knows the hop-by-hop fields of HTTP/1.1.
 
 #include "src/http1/message.h"
 
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-void RemoveConnectionFields(Fields& fields) {
+void RemoveHopByHopFields(Fields& fields) {
   for (const std::string& name : NamedByConnection(fields)) {
     fields.erase(name);
   }
--- a/src/peer/codec.cc
+++ b/src/peer/codec.cc
@@ -1,4 +1,4 @@
-// Thrift's compact protocol over memory buffers behind peer::Codec.
+// Uses Thrift's compact protocol on memory buffers.
 
 #include "src/peer/codec.h"
 
@@ -23,8 +23,8 @@
 
 constexpr int kBitsPerByte = 8;
 
-// Moves each alternative of a Message into its field of the envelope.
-struct FillEnvelope {
+// Visitor that moves a Message into the matching field of the envelope.
+struct EnvelopeFiller {
   wire::Envelope& envelope;
 
   void operator()(wire::Heartbeat& message) {
@@ -61,14 +61,14 @@
   }
 };
 
-// Collects the one message of an envelope and notices a second one.
-class MessagePicker {
+// Extracts the message of an envelope and counts how many are set.
+class MessageExtractor {
  public:
   template <typename T>
-  void Offer(bool is_set, T& message) {
+  void Add(bool is_set, T& message) {
     if (is_set) {
       ++count_;
-      picked_ = std::move(message);
+      message_ = std::move(message);
     }
   }
 
@@ -76,26 +76,26 @@
     if (count_ != 1) {
       return std::nullopt;
     }
-    return std::move(picked_);
+    return std::move(message_);
   }
 
  private:
   int count_ = 0;
-  Message picked_;
+  Message message_;
 };
 
 std::optional<Message> TakeMessage(wire::Envelope& envelope) {
-  MessagePicker picker;
+  MessageExtractor extractor;
   const auto& is_set = envelope.__isset;
-  picker.Offer(is_set.heartbeat, envelope.heartbeat);
-  picker.Offer(is_set.sub_query, envelope.sub_query);
-  picker.Offer(is_set.shard_reply, envelope.shard_reply);
-  picker.Offer(is_set.cancel_sub_query, envelope.cancel_sub_query);
-  picker.Offer(is_set.targets_request, envelope.targets_request);
-  picker.Offer(is_set.targets_body, envelope.targets_body);
-  picker.Offer(is_set.claim_request, envelope.claim_request);
-  picker.Offer(is_set.claim_reply, envelope.claim_reply);
-  return picker.Take();
+  extractor.Add(is_set.heartbeat, envelope.heartbeat);
+  extractor.Add(is_set.sub_query, envelope.sub_query);
+  extractor.Add(is_set.shard_reply, envelope.shard_reply);
+  extractor.Add(is_set.cancel_sub_query, envelope.cancel_sub_query);
+  extractor.Add(is_set.targets_request, envelope.targets_request);
+  extractor.Add(is_set.targets_body, envelope.targets_body);
+  extractor.Add(is_set.claim_request, envelope.claim_request);
+  extractor.Add(is_set.claim_reply, envelope.claim_reply);
+  return extractor.Take();
 }
 
 void AppendHeader(std::size_t length, std::string& frame) {
@@ -104,13 +104,15 @@
   }
 }
 
-// May throw what the library throws on malformed input.
+// Throws Thrift's exceptions on malformed input.
 wire::Envelope ReadEnvelope(std::string_view bytes) {
-  // A container or string can't have more elements than there are bytes, so
-  // a length that lies is refused before memory is set aside for it.
+  // A container or string can't have more elements than the envelope has bytes.
+  // With this limit a forged length is rejected before memory is allocated for
+  // it.
   const auto limit = static_cast<int>(bytes.size());
   auto buffer = std::make_shared<TMemoryBuffer>(
-      // NOTE: the library's interface lacks const; OBSERVE never writes.
+      // NOTE: Thrift's constructor takes a non-const pointer, but a buffer with
+      // OBSERVE never writes to it.
       reinterpret_cast<std::uint8_t*>(const_cast<char*>(bytes.data())),
       static_cast<std::uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE,
       std::make_shared<TConfiguration>(limit, limit));
@@ -130,7 +132,7 @@
   wire::Envelope envelope;
   envelope.sender = self_.name;
   envelope.sender_incarnation = self_.incarnation;
-  std::visit(FillEnvelope{envelope}, message);
+  std::visit(EnvelopeFiller{envelope}, message);
   auto buffer = std::make_shared<TMemoryBuffer>();
   TCompactProtocolT<TMemoryBuffer> protocol(buffer);
   envelope.write(&protocol);
--- a/src/peer/link_table.cc
+++ b/src/peer/link_table.cc
@@ -1,4 +1,4 @@
-// Maps under one mutex behind peer::LinkTable.
+// All maps are guarded by one mutex.
 
 #include "src/peer/link_table.h"
 
@@ -12,7 +12,7 @@
 using base::ErrorCode;
 using base::Step;
 
-// Beyond this many failures the backoff no longer grows.
+// After this many failures in a row the backoff no longer increases.
 constexpr int kMaxBackoffDoublings = 16;
 
 }  // namespace
@@ -27,9 +27,9 @@
     const std::string& address,
     const std::function<ConnectionPointer()>& connect) {
   const std::lock_guard lock(mutex_);
-  if (is_shut_) {
+  if (is_closed_) {
     return base::MakeError(ErrorCode::kStopping, Step::kPeerLink, peer,
-                           "links are closed");
+                           "peer links are closed");
   }
   Peer& entry = outgoing_[peer];
   Outgoing result;
@@ -45,8 +45,9 @@
     return result;
   }
   if (clock_.Now() < entry.retry_at) {
-    return base::MakeError(ErrorCode::kUnreachable, Step::kPeerLink, peer,
-                           "link failed, next try follows");
+    return base::MakeError(
+        ErrorCode::kUnreachable, Step::kPeerLink, peer,
+        "link failed recently; waiting before the next attempt");
   }
   if (entry.connection) {
     replaced_.insert(entry.connection);
@@ -58,14 +59,14 @@
 
 bool LinkTable::AddIncoming(const ConnectionPointer& connection) {
   const std::lock_guard lock(mutex_);
-  if (is_shut_) {
+  if (is_closed_) {
     return false;
   }
   incoming_[connection.get()].connection = connection;
   return true;
 }
 
-LinkTable::Identification LinkTable::Identify(
+LinkTable::SenderUpdate LinkTable::RecordSender(
     const ConnectionPointer& connection,
     const Sender& sender) {
   const std::lock_guard lock(mutex_);
@@ -76,7 +77,7 @@
   std::int64_t& newest = newest_incarnations_[sender.name];
   const bool is_newer = sender.incarnation > newest;
   newest = std::max(newest, sender.incarnation);
-  Identification result{.newest_incarnation = newest, .outdated = {}};
+  SenderUpdate result{.newest_incarnation = newest, .outdated = {}};
   if (!is_newer) {
     return result;
   }
@@ -89,11 +90,12 @@
   return result;
 }
 
-void LinkTable::NoteFailure(Peer& peer) {
+void LinkTable::RecordFailure(Peer& peer) {
   const int doublings = std::min(peer.failures++, kMaxBackoffDoublings);
   const auto longest =
       std::min(backoff_.maximum, backoff_.initial * (1 << doublings));
-  // Between a half and the whole, so that peers don't return in step.
+  // Random jitter between half and all of the delay, so that peers don't
+  // reconnect at the same time.
   const double share = 0.5 + 0.5 * random_.Unit();
   const auto delay =
       static_cast<std::int64_t>(static_cast<double>(longest.count()) * share);
@@ -120,7 +122,7 @@
         entry->second.failures = 0;
       }
       if (is_failure) {
-        NoteFailure(entry->second);
+        RecordFailure(entry->second);
       }
     }
   }
@@ -144,7 +146,7 @@
   return links;
 }
 
-void LinkTable::Forget(const std::string& peer) {
+void LinkTable::DiscardPeer(const std::string& peer) {
   const std::lock_guard lock(mutex_);
   const auto entry = outgoing_.find(peer);
   if (entry != outgoing_.end() && !entry->second.connection) {
@@ -153,9 +155,9 @@
   newest_incarnations_.erase(peer);
 }
 
-std::vector<ConnectionPointer> LinkTable::Shut() {
+std::vector<ConnectionPointer> LinkTable::CloseToNewLinks() {
   const std::lock_guard lock(mutex_);
-  is_shut_ = true;
+  is_closed_ = true;
   std::vector<ConnectionPointer> links(replaced_.begin(), replaced_.end());
   for (const auto& [name, peer] : outgoing_) {
     if (peer.connection) {
--- a/src/peer/peer_network.cc
+++ b/src/peer/peer_network.cc
@@ -1,4 +1,4 @@
-// The acceptor and the life of links behind peer::PeerNetwork.
+// Opens, identifies and closes the links.
 
 #include "src/peer/peer_network.h"
 
@@ -21,16 +21,17 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// A peer that sends what can't be read needs somebody's attention; one that
-// goes away is an everyday event.
-base::LogLevel LevelOf(const base::Error& reason) {
+// Protocol errors are logged as warnings because an operator must look into
+// them. Lost connections are routine.
+base::LogLevel LogLevelFor(const base::Error& reason) {
   const bool is_fault = reason.code == ErrorCode::kMalformed ||
                         reason.code == ErrorCode::kTooLarge ||
                         reason.code == ErrorCode::kConflict;
   return is_fault ? base::LogLevel::kWarning : base::LogLevel::kInfo;
 }
 
-// The heartbeat that tells an older incarnation of `name` of the newer one.
+// The heartbeat that tells an older incarnation of `name` that a newer one
+// runs.
 Message MakeReplacedNotice(const std::string& name, std::int64_t incarnation) {
   wire::MemberRecord record;
   record.name = name;
@@ -69,14 +70,14 @@
                             const tcp::endpoint& endpoint);
   void DidAccept(Connection::Socket socket);
   base::Status DidRead(Connection& connection, std::string_view envelope);
-  void RefuseOutdated(Connection& connection,
+  void RejectOutdated(Connection& connection,
                       const Sender& sender,
                       std::int64_t newest_incarnation);
   void DidClose(Connection& connection, const base::Error& reason);
   void SchedulePrune();
   void Prune();
-  void ForgetPeers(const blackboard::MembershipView& previous,
-                   const blackboard::MembershipView& current);
+  void DiscardRemovedPeers(const blackboard::MembershipView& previous,
+                           const blackboard::MembershipView& current);
 
   const PeerNetworkSettings settings_;
   boost::asio::io_context& traffic_;
@@ -93,7 +94,8 @@
   LinkTable links_;
   TrafficCounter sent_;
   TrafficCounter received_;
-  // The view that the links were last compared with; on timers_ only.
+  // The membership view that the links were last compared with; accessed on
+  // timers_ only.
   std::shared_ptr<const blackboard::MembershipView> pruned_view_;
 };
 
@@ -139,7 +141,7 @@
   error_code error;
   const tcp::endpoint remote = socket.remote_endpoint(error);
   if (error) {
-    // The peer has gone away already.
+    // The peer has already closed the connection.
     return;
   }
   const auto connection =
@@ -233,20 +235,21 @@
   const Sender& sender = received.value().sender;
   received_.Add(received.value().message.index(),
                 kFrameHeaderBytes + envelope.size());
-  const auto identity = links_.Identify(connection.shared_from_this(), sender);
+  const auto identity =
+      links_.RecordSender(connection.shared_from_this(), sender);
   for (const ConnectionPointer& outdated : identity.outdated) {
     outdated->Close(base::MakeError(ErrorCode::kConnectionLost, Step::kPeerLink,
                                     sender.name, "older incarnation"));
   }
   if (sender.incarnation < identity.newest_incarnation) {
-    RefuseOutdated(connection, sender, identity.newest_incarnation);
+    RejectOutdated(connection, sender, identity.newest_incarnation);
     return base::Done{};
   }
   did_receive_(sender, std::move(received.value().message));
   return base::Done{};
 }
 
-void PeerNetwork::Impl::RefuseOutdated(Connection& connection,
+void PeerNetwork::Impl::RejectOutdated(Connection& connection,
                                        const Sender& sender,
                                        std::int64_t newest_incarnation) {
   const base::Error reason = base::MakeError(
@@ -256,10 +259,12 @@
   auto notice = codec_->Encode(
       MakeReplacedNotice(sender.name, newest_incarnation), sender.name);
   if (notice.is_ok()) {
-    // A full queue can't be: nothing else is written on an incoming link.
+    // The queue can't be full: nothing else is sent on an incoming link.
     const base::Status status = connection.Send(std::move(notice.value()));
     if (!status.is_ok()) {
-      log_.DidFail(status.error(), "an older incarnation is not told");
+      log_.DidFail(
+          status.error(),
+          "an older incarnation could not be notified that it was replaced");
     }
   }
   connection.CloseAfterFlush(reason);
@@ -270,7 +275,7 @@
   const bool is_failure = reason.code != ErrorCode::kStopping;
   const std::string peer = links_.Remove(connection, is_failure);
   if (is_failure) {
-    log_.Write({.level = LevelOf(reason),
+    log_.Write({.level = LogLevelFor(reason),
                 .step = reason.step,
                 .peer = peer.empty() ? reason.peer : peer,
                 .message = "link closed: " + reason.ToString()});
@@ -305,16 +310,17 @@
                                   name, "no longer a member"));
     }
   }
-  ForgetPeers(*previous, *view);
+  DiscardRemovedPeers(*previous, *view);
 }
 
-// A peer that is neither a member nor absent any more was removed for good.
-void PeerNetwork::Impl::ForgetPeers(const blackboard::MembershipView& previous,
-                                    const blackboard::MembershipView& current) {
+// A peer that is no longer a member or absent was removed permanently.
+void PeerNetwork::Impl::DiscardRemovedPeers(
+    const blackboard::MembershipView& previous,
+    const blackboard::MembershipView& current) {
   for (const auto* table : {&previous.members, &previous.absent}) {
     for (const auto& [name, member] : *table) {
       if (!current.members.contains(name) && !current.absent.contains(name)) {
-        links_.Forget(name);
+        links_.DiscardPeer(name);
       }
     }
   }
@@ -327,17 +333,18 @@
   if (acceptor_) {
     acceptor_->Close();
   }
-  const base::Error reason = base::MakeError(ErrorCode::kStopping, Step::kStop,
-                                             "", "this daemon stops");
-  const auto links = links_.Shut();
+  const base::Error reason = base::MakeError(
+      ErrorCode::kStopping, Step::kStop, "", "this daemon is shutting down");
+  const auto links = links_.CloseToNewLinks();
   for (const ConnectionPointer& link : links) {
     link->CloseAfterFlush(reason);
   }
   if (links_.WaitUntilEmpty(settings_.flush_timeout)) {
     return;
   }
-  log_.DidFail(reason, std::to_string(links_.size()) +
-                           " links were not written out in time");
+  log_.DidFail(reason,
+               std::to_string(links_.size()) +
+                   " links still had queued messages after the flush timeout");
   for (const ConnectionPointer& link : links) {
     link->Close(reason);
   }
--- a/src/platform/caller_codec.cc
+++ b/src/platform/caller_codec.cc
@@ -49,7 +49,7 @@
 
 Response EncodeLeafResponse(query::LeafResponse passed) {
   Response response = std::move(passed.message);
-  http1::RemoveConnectionFields(response);
+  http1::RemoveHopByHopFields(response);
   response.version(kHttpVersion);
   // NOTE: the leaf's Content-Length is kept. This matters for HEAD, where the
   // response has a length and no body.
@@ -100,7 +100,7 @@
                            "the request identifier or host is missing");
   }
   incoming.deadline = DecodeDeadline(request);
-  http1::RemoveConnectionFields(request);
+  http1::RemoveHopByHopFields(request);
   request.erase(http::field::expect);
   incoming.message = std::make_shared<const http1::Request>(std::move(request));
   return incoming;
--- a/src/platform/store_calls.cc
+++ b/src/platform/store_calls.cc
@@ -189,7 +189,7 @@
   http1::ClientConnection::Settings settings;
   settings.peer = endpoint.value();
   settings.connect_timeout = settings_.timeout;
-  settings.silence = kAckTimeout;
+  settings.silence_timeout = kAckTimeout;
   settings.did_change =
       [self = weak_from_this()](http1::ClientConnection& connection) {
         const auto calls = self.lock();
@@ -234,7 +234,7 @@
     }
     done(self->Decode(response.value()));
   };
-  http1::Start(Connect(), control_, std::move(exchange));
+  http1::StartTimedExchange(Connect(), control_, std::move(exchange));
 }
 
 Result<Answer> StoreCalls::Impl::Decode(const Response& response) const {
--- a/src/upstream/forward_client.cc
+++ b/src/upstream/forward_client.cc
@@ -151,7 +151,7 @@
     self->codec_.set_time_left(request,
                                std::max(base::Duration{}, time_left - waited));
   };
-  exchange.is_mine = [self = shared_from_this(),
+  exchange.matches = [self = shared_from_this(),
                       call](const http1::Response& response) {
     return self->codec_.is_mine(call, response);
   };
@@ -195,7 +195,7 @@
 
 void ForwardClient::Impl::Prepare(const blackboard::Upstream& upstream) {
   if (const auto connection = Acquire(upstream)) {
-    connection->Prepare();
+    connection->Preconnect();
   }
 }
 
@@ -293,7 +293,7 @@
   ClientConnection::Settings settings;
   settings.peer = endpoint.value();
   settings.connect_timeout = kConnectTimeout;
-  settings.silence = kAckTimeout;
+  settings.silence_timeout = kAckTimeout;
   settings.did_change = [self = weak_from_this(),
                          leaf = upstream.name](ClientConnection& connection) {
     if (auto client = self.lock()) {
--- a/tests/caller_api/request_parser_property_test.cc
+++ b/tests/caller_api/request_parser_property_test.cc
@@ -1,6 +1,6 @@
-// Whatever bytes arrive, parsing neither throws nor yields a request that the
-// rules forbid. RapidCheck prints the seed of a failure; RC_PARAMS="seed=N"
-// runs it again.
+// Property test: for arbitrary input, parsing neither throws nor returns an
+// invalid request. RapidCheck prints the seed of a failure; RC_PARAMS="seed=N"
+// reproduces it.
 
 #include <string>
 
@@ -12,11 +12,11 @@
 namespace medlarspread::caller_api {
 namespace {
 
-constexpr const char* kGood =
+constexpr const char* kValidRequest =
     R"({"request_id":"1764691200000-4f2aB9c0","class":"counter-lookup",)"
     R"("deadline_ms":500,"idempotent":true,"query":{"any":[1,"x"]}})";
 
-bool IsAllowed(const ParsedRequest& parsed) {
+bool IsValidOrRejected(const ParsedRequest& parsed) {
   const auto* request = std::get_if<query::CallerRequest>(&parsed);
   return request == nullptr ||
          (!request->class_name.empty() && !request->query.empty() &&
@@ -33,14 +33,14 @@
 
 TEST(RequestParserPropertyTest, DamagedRequestsStayWithinTheRules) {
   EXPECT_TRUE(rc::check([] {
-    std::string body = kGood;
+    std::string body = kValidRequest;
     const auto edits = *rc::gen::inRange(1, 6);
     for (int i = 0; i < edits; ++i) {
       const auto place = *rc::gen::inRange<std::size_t>(0, body.size());
       const auto length = *rc::gen::inRange<std::size_t>(0, 4);
       body.replace(place, length, *rc::gen::arbitrary<std::string>());
     }
-    RC_ASSERT(IsAllowed(ParseCallerRequest(body)));
+    RC_ASSERT(IsValidOrRejected(ParseCallerRequest(body)));
   }));
 }
 
--- a/tests/http/busy_threads_test.cc
+++ b/tests/http/busy_threads_test.cc
@@ -1,5 +1,5 @@
-// Sends that start on the traffic threads themselves, on all of them at once:
-// none may wait for work that another traffic thread has to do.
+// Guards against a deadlock when requests are sent from all traffic threads at
+// once: no send may block on work that another traffic thread must do.
 
 #include <atomic>
 #include <future>
@@ -16,14 +16,14 @@
 
 constexpr int kRequests = 400;
 constexpr base::Duration kLongTimeout = base::Milliseconds(60'000);
-constexpr auto kPatience = std::chrono::seconds(30);
+constexpr auto kTestTimeout = std::chrono::seconds(30);
 
 TEST(BusyThreadsTest, RequestsToBeSentOnceDoNotBlockTheTrafficThreads) {
   Listener listener(
       {.address = "127.0.0.1:0"},
       [](const Request&, const Responder& respond) { respond({}); });
   ASSERT_TRUE(listener.Open().is_ok());
-  // Shared with callbacks that come after a failed wait.
+  // Shared, because callbacks may run after the wait has failed.
   struct Shared {
     explicit Shared(const std::string& address)
         : client({.address = address}, base::TaskRunner(TrafficContext())) {}
@@ -46,7 +46,7 @@
                           });
     });
   }
-  ASSERT_EQ(shared->done.get_future().wait_for(kPatience),
+  ASSERT_EQ(shared->done.get_future().wait_for(kTestTimeout),
             std::future_status::ready)
       << shared->left << " requests are left";
 }
--- a/tests/http1/caller_listener_test.cc
+++ b/tests/http1/caller_listener_test.cc
@@ -1,4 +1,5 @@
-// CallerListener against callers that leave, send ahead, or send too much.
+// CallerListener with callers that disconnect, pipeline requests or exceed
+// limits.
 
 #include "src/http1/caller_listener.h"
 
@@ -14,7 +15,7 @@
 
 using boost::asio::ip::tcp;
 
-constexpr auto kLongest = std::chrono::seconds(20);
+constexpr auto kTestTimeout = std::chrono::seconds(20);
 
 class CallerListenerTest : public testing::Test {
  protected:
@@ -40,7 +41,7 @@
   }
 
   void RunUntil(const std::function<bool()>& is_done) {
-    const auto end = std::chrono::steady_clock::now() + kLongest;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!is_done() && std::chrono::steady_clock::now() < end) {
       context_.run_one_for(std::chrono::milliseconds(10));
       context_.restart();
@@ -100,7 +101,7 @@
   Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   RunUntil([this] { return requests_.size() == 1; });
   caller_.close();
-  const auto end = std::chrono::steady_clock::now() + kLongest;
+  const auto end = std::chrono::steady_clock::now() + kTestTimeout;
   while (abandoned_ == 0 && std::chrono::steady_clock::now() < end) {
     context_.run_one_for(std::chrono::milliseconds(10));
     context_.restart();
@@ -131,8 +132,8 @@
 
 TEST_F(CallerListenerTest, RefusesABodyOverTheLimit) {
   limits_.body_bytes = 10;
-  // The parser of a connection has the limits of its start; the second
-  // connection is made after the change.
+  // A connection's parser is created with the limits in force at that time, so
+  // the test needs a connection that is opened after the change.
   tcp::socket second(context_);
   second.connect({boost::asio::ip::address_v4::loopback(), listener_->port()});
   caller_ = std::move(second);
@@ -156,7 +157,7 @@
   Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
   RunUntil([this] { return requests_.size() == 1; });
   listener_->StopAccepting();
-  EXPECT_EQ(listener_->in_work(), 1U);
+  EXPECT_EQ(listener_->requests_in_flight(), 1U);
   Answer(0, "whole");
   RunUntil([this] { return has_received("whole"); });
 }
--- a/tests/http1/client_connection_test.cc
+++ b/tests/http1/client_connection_test.cc
@@ -1,5 +1,5 @@
-// ClientConnection against peers that answer well, late, too much, or not to
-// the end.
+// ClientConnection with peers that respond correctly, late, with extra bytes or
+// with a truncated response.
 
 #include "src/http1/client_connection.h"
 
@@ -16,7 +16,7 @@
 
 using upstream::RawLeaf;
 
-constexpr auto kLongest = std::chrono::seconds(20);
+constexpr auto kTestTimeout = std::chrono::seconds(20);
 
 class ClientConnectionTest : public testing::Test {
  protected:
@@ -33,7 +33,7 @@
         std::make_shared<ClientConnection>(context_, std::move(settings));
   }
 
-  // Sends a request with the identifier and runs until it has ended.
+  // Sends a request with the identifier and runs until the exchange ends.
   ExchangeResult Ask(const std::string& id) {
     auto request = std::make_shared<Request>(boost::beast::http::verb::get,
                                              "/a%2fb/..//c?y=+%20", 11);
@@ -41,7 +41,7 @@
     std::optional<ExchangeResult> result;
     Exchange exchange;
     exchange.request = request;
-    exchange.is_mine = [id](const Response& response) {
+    exchange.matches = [id](const Response& response) {
       const auto field = response.find("Id");
       return field == response.end() || field->value() == id;
     };
@@ -55,7 +55,7 @@
 
   void RunUntil(const std::function<bool()>& is_done) {
     context_.restart();
-    const auto end = std::chrono::steady_clock::now() + kLongest;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!is_done() && std::chrono::steady_clock::now() < end) {
       context_.run_one_for(std::chrono::milliseconds(10));
       context_.restart();
--- a/tests/http1/message_test.cc
+++ b/tests/http1/message_test.cc
@@ -1,4 +1,4 @@
-// Which fields are left out when a message is passed on.
+// Hop-by-hop fields are removed before a message is forwarded.
 
 #include "src/http1/message.h"
 
@@ -7,7 +7,7 @@
 namespace medlarspread::http1 {
 namespace {
 
-TEST(RemoveConnectionFieldsTest, RemovesThoseThatConnectionNames) {
+TEST(RemoveHopByHopFieldsTest, RemovesThoseThatConnectionNames) {
   Request request;
   request.insert("Connection", "X-Hop, keep-alive");
   request.insert("X-Hop", "1");
@@ -15,7 +15,7 @@
   request.insert("Transfer-Encoding", "chunked");
   request.insert("X-End", "2");
   request.insert("X-End", "3");
-  RemoveConnectionFields(request);
+  RemoveHopByHopFields(request);
   EXPECT_EQ(request.count("X-Hop"), 0U);
   EXPECT_EQ(request.count("Connection"), 0U);
   EXPECT_EQ(request.count("Keep-Alive"), 0U);
--- a/tests/http1/timed_exchange_test.cc
+++ b/tests/http1/timed_exchange_test.cc
@@ -1,4 +1,5 @@
-// A request that is answered, not answered in time, or has nowhere to go.
+// An exchange with a response, with a timeout, with a failure and without a
+// connection.
 
 #include "src/http1/timed_exchange.h"
 
@@ -55,7 +56,7 @@
       EXPECT_FALSE(result.has_value()) << "ended twice";
       result = std::move(ended);
     };
-    Start(connection, runner_, std::move(exchange));
+    StartTimedExchange(connection, runner_, std::move(exchange));
     EXPECT_FALSE(result.has_value()) << "ended inside the call";
     while (!result) {
       context_.run_one();
