--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -217,14 +217,14 @@
   :: holder = 1                       /* so that 0 is asked first */
   :: me == 1 -> holder = 0
   fi;
-next:                                 /* ClaimSession::TryNext */
+next:                                 /* ClaimSession::AskNextDaemon */
   atomic {
     asked++;
     holder = 1 - holder;
     Ask(holder, me + 1)
   };
   do
-  :: atomic {                         /* ClaimSession::DidLearn */
+  :: atomic {                         /* ClaimSession::DidLearnOutcome */
        replies[me]?what;
        if
        :: what == granted -> Send(me); break
--- a/spec/targets.pml
+++ b/spec/targets.pml
@@ -174,7 +174,7 @@
     r = 0; c = 0;
     if
 #ifndef NO_CHANGE_ID
-    :: changes[d] & (1 << d) -> goto accept /* FinishIfMade */
+    :: changes[d] & (1 << d) -> goto accept /* FinishIfRecorded */
 #endif
     :: else
     fi;
