--- a/src/burn/burn_chart.cc
+++ b/src/burn/burn_chart.cc
@@ -1,4 +1,4 @@
-// Layout of the chart, in the units of its view box.
+// Lays out the chart in the units of its SVG view box.
 
 #include "src/burn/burn_chart.h"
 
@@ -22,7 +22,7 @@
 constexpr double kBottom = 30;
 constexpr double kPlotWidth = kWidth - kLeft - kRight;
 constexpr double kPlotHeight = kHeight - kTop - kBottom;
-// The scale reaches at least to this burn, and never beyond the last tick.
+// The scale reaches at least up to kLeastTop and at most up to the last tick.
 constexpr double kLeastTop = 2;
 constexpr double kTicks[] = {0, 1, 2, 5, 10, 20, 50, 100};
 constexpr double kGreatestTop = 100;
@@ -51,7 +51,8 @@
   return point.coverage_burn;
 }
 
-// Absent means either that nothing was asked or that there is no budget.
+// Absent if there were no requests. A point without a burn rate (no budget) is
+// drawn at the top.
 Burn BurnToDraw(const HistoryPoint& point, PickBurn pick) {
   if (point.counts.asked == 0) {
     return std::nullopt;
@@ -80,8 +81,8 @@
   for (std::size_t i = 0; i < history.size(); ++i) {
     const Burn burn = BurnToDraw(history[i], pick);
     if (burn) {
-      // Each point is a step as wide as its minutes, so that a single one
-      // shows too.
+      // Each point is drawn as a horizontal step over its minutes, so that a
+      // single point is visible too.
       const double y = scale.Y(*burn);
       path += fmt::format("{}{:.1f} {:.1f}H{:.1f}", is_pen_down ? "L" : "M",
                           scale.X(static_cast<double>(i)), y,
--- a/src/burn/burn_chart.h
+++ b/src/burn/burn_chart.h
@@ -1,4 +1,4 @@
-// The picture of one class's burn over the last hours, as inline SVG.
+// Draws one class's burn rate over the last hours as inline SVG.
 
 #ifndef MEDLARSPREAD_BURN_BURN_CHART_H_
 #define MEDLARSPREAD_BURN_BURN_CHART_H_
@@ -10,14 +10,15 @@
 
 namespace medlarspread::burn {
 
-// Two lines, for the latency and the coverage target, on a logarithmic scale
-// with a mark at 1, where the budget is spent exactly. A line is interrupted
-// where nothing was asked; time without counts is shaded. A burn without
-// budget, or beyond the scale, is drawn at the top. `class_name` is plain text.
+// Draws two lines, for the latency and the coverage target, on a logarithmic
+// scale. The tick at 1 marks a burn rate that uses up the error budget exactly.
+// A line is interrupted where there were no requests; time without counts is
+// shaded. Values beyond the scale, and misses where the targets allow none, are
+// drawn at the top. `class_name` is plain text.
 std::string DrawBurn(const std::string& class_name,
                      const std::vector<HistoryPoint>& history);
 
-// `text` with the letters replaced that mean something in HTML.
+// Returns `text` with HTML's special characters escaped.
 std::string EscapeHtml(const std::string& text);
 
 }  // namespace medlarspread::burn
--- a/src/burn/burn_controller.cc
+++ b/src/burn/burn_controller.cc
@@ -1,5 +1,5 @@
-// Puts the parts of the burn report together on the control sequence: collect
-// every second, flush and roll up on their own jittered timers, report on
+// Runs the parts of the burn report on the control sequence: collects counts at
+// a fixed interval, flushes and rolls up on jittered timers, and reports on
 // demand.
 
 #include "src/burn/burn_controller.h"
@@ -21,11 +21,12 @@
 
 constexpr int kStopTries = 4;
 constexpr base::Duration kStopRetryDelay = base::Milliseconds(500);
-// A member's counts are overdue after this many flush intervals.
+// A member's counts are overdue after this many flush intervals without a
+// write.
 constexpr int kGraceIntervals = 3;
 
-// Spread from three to five quarters of `mean`, so that VMs that started
-// together do not write together.
+// Returns 0.75 to 1.25 times `mean`, so that VMs started together do not write
+// at the same time.
 base::Duration Jitter(base::Duration mean, base::Random& random) {
   constexpr double kLeast = 0.75;
   constexpr double kSpread = 0.5;
@@ -35,7 +36,7 @@
 }
 
 std::int64_t DrawNonce(base::Random& random) {
-  // JSON readers keep integers below this exactly.
+  // JSON parsers that use doubles represent integers below 2^53 exactly.
   constexpr std::uint64_t kBound = std::uint64_t{1} << 53;
   return static_cast<std::int64_t>(random.Below(kBound));
 }
@@ -73,14 +74,14 @@
 
   const std::shared_ptr<ShardedCounts> counts =
       std::make_shared<ShardedCounts>();
-  // This VM's counts of the last hour, for the blackboard.
+  // Counts of this VM over the last hour, published on the blackboard.
   Cells recent;
   OwnCounts own;
   const std::shared_ptr<CountWriter> writer;
   const std::shared_ptr<GoneWatch> gone_watch;
   RollUpRunner roll_up;
 
-  // The counts that the last successful read gave, for reports in an outage.
+  // Result of the last successful read; used for reports during a store outage.
   StoredCounts last_read;
   std::optional<std::int64_t> last_read_wall_ms;
 
@@ -155,7 +156,7 @@
   if (state.is_stopping) {
     return;
   }
-  // What is written covers the time up to the moment it is made up.
+  // Collect first: the written segment claims to cover the time up to now.
   TakeCounts();
   state.writer->Flush(false, [self = shared_from_this()] {
     State& state = *self->state_;
@@ -185,7 +186,7 @@
     State& state = *self->state_;
     state.is_stopping = true;
     state.stopped = done;
-    // A flush under way goes on with FlushLast() when it ends.
+    // If a flush is in progress, its completion calls FlushLast().
     if (!state.writer->is_flushing()) {
       self->FlushLast();
     }
@@ -202,13 +203,14 @@
       if (!state.own.is_finished()) {
         state.log.Write({.level = base::LogLevel::kError,
                          .step = base::Step::kStop,
-                         .message = "the last burn counts could not be "
-                                    "written; they will be unaccounted"});
+                         .message = "could not write the last burn counts "
+                                    "to the store; the burn report will "
+                                    "list them as unaccounted"});
       }
       std::exchange(state.stopped, nullptr)();
       return;
     }
-    // NOTE: the controller stays alive until it has stopped.
+    // NOTE: `self` keeps the controller alive until it has stopped.
     state.control.After(kStopRetryDelay, [self] { self->FlushLast(); });
   });
 }
@@ -253,7 +255,7 @@
     input.notes.push_back("the value at " + key +
                           " is damaged; its counts are missing");
   }
-  // What this VM holds in memory is at least what it has written.
+  // The counts in memory include everything that this VM has written.
   for (auto& [key, segment] : state.own.Segments()) {
     input.segments[key] = std::move(segment);
   }
--- a/src/burn/burn_controller.h
+++ b/src/burn/burn_controller.h
@@ -1,10 +1,11 @@
-// Counts what becomes of requests, writes the counts to the platform's store
-// in groups, and reports how the classes did against their targets.
+// Counts the outcomes of requests, writes the counts to the platform's store in
+// batches, and reports how each class did against its service-level targets.
 //
 // Each VM incarnation writes absolute totals, one value per ten minutes, which
-// it alone overwrites by compare-and-swap: a write that is repeated because its
-// reply was lost counts nothing twice. Closed values are rolled up per failure
-// domain and hour, and those per day. docs/design/11-burn-report.md says why.
+// only it overwrites, by compare-and-swap. A write that is repeated because its
+// reply was lost is therefore not counted twice. Closed values are rolled up
+// per failure domain and hour, and the hours per day.
+// docs/design/11-burn-report.md gives the reasons.
 
 #ifndef MEDLARSPREAD_BURN_BURN_CONTROLLER_H_
 #define MEDLARSPREAD_BURN_BURN_CONTROLLER_H_
@@ -26,13 +27,12 @@
 namespace medlarspread::burn {
 
 struct ReportQuery {
-  // Only this class; empty for all.
+  // Limits the report to this class; empty for all classes.
   std::string class_name;
 };
 
-// Lives on the control sequence. Must be owned by a std::shared_ptr: calls to
-// the store that are still under way keep it alive. `random` and `board` must
-// outlive it.
+// Runs on the control sequence. Must be owned by a std::shared_ptr, because
+// pending store calls keep it alive. `random` and `board` must outlive it.
 class BurnController : public std::enable_shared_from_this<BurnController> {
  public:
   using ReportCallback = std::function<void(BurnReport)>;
@@ -46,27 +46,30 @@
                  base::Log log = {});
   ~BurnController();
 
-  // Counts one request. Cheap, callable from any thread; stays valid after the
-  // controller is gone.
+  // Returns a function that counts one request. It is cheap, may be called from
+  // any thread, and stays valid after the controller is destroyed.
   RecordRequest recorder() const;
 
-  // Starts to collect, write, watch the members and roll up.
+  // Starts the periodic tasks: collecting and writing counts, watching the
+  // membership, and rolling up.
   void Start();
 
-  // Writes the last counts and says in the store that this incarnation has
-  // ended, then runs `done` on the control sequence; also when the store does
-  // not take the counts within a few tries. Call it when the last request has
-  // been recorded, from any thread. Nothing is written afterwards.
+  // Writes the last counts and marks this incarnation as ended in the store,
+  // then runs `done` on the control sequence. `done` also runs if the store
+  // does not accept the counts after several attempts. Call it, from any
+  // thread, after the last request has been recorded; nothing is written
+  // afterwards.
   void Stop(std::function<void()> done);
 
-  // Computes the report and passes it on the control sequence. Never fails:
-  // without the store it covers less and says so. From any thread.
+  // Computes the report and passes it to `callback` on the control sequence.
+  // Never fails: without the store, the report is marked as partial. May be
+  // called from any thread.
   void Report(ReportQuery query, ReportCallback callback);
 
  private:
   struct State;
 
-  // Each runs on the control sequence and starts itself again.
+  // Each runs on the control sequence and schedules its next run.
   void Collect();
   void Flush();
   void RollUp();
--- a/src/burn/burn_settings.h
+++ b/src/burn/burn_settings.h
@@ -1,5 +1,5 @@
-// The settings of the burn report. Durations bound what a lost VM can take with
-// it and how many calls the store gets.
+// Settings of the burn report. The durations limit how many counts are lost
+// when a VM crashes, and how many calls the store receives.
 
 #ifndef MEDLARSPREAD_BURN_BURN_SETTINGS_H_
 #define MEDLARSPREAD_BURN_BURN_SETTINGS_H_
@@ -16,27 +16,29 @@
   std::int64_t incarnation = 0;
   std::string failure_domain;
 
-  // How often the threads' counts are added up and the blackboard is written.
+  // How often the per-thread counts are summed and the blackboard is updated.
   base::Duration collect_interval = base::Milliseconds(1'000);
-  // Mean time between two writes of this VM's counts, jittered by a quarter.
-  // A VM that dies loses its counts of at most this time and a quarter more.
+  // Mean time between two writes of this VM's counts, with a jitter of a
+  // quarter. A VM that crashes loses the counts of at most 1.25 times this
+  // interval.
   base::Duration flush_interval = base::Milliseconds(60'000);
-  // Writes at one flush at most, so that the fleet does not rush the store
-  // after an outage.
+  // Maximum number of writes per flush, so that the fleet does not overload the
+  // store after an outage.
   int writes_per_flush = 2;
-  // The longest time between asking and recording a request. A bucket is
-  // closed no earlier than this after its end.
+  // The longest time between the arrival and the recording of a request. A
+  // bucket is closed no earlier than this after its end.
   base::Duration longest_request = base::Milliseconds(30'000);
-  // An incarnation that was seen to be gone this long ago has its open segments
-  // closed by another VM.
+  // The open segments of an incarnation that was marked as gone are closed by
+  // another VM after this delay.
   base::Duration seal_delay = base::Milliseconds(600'000);
-  // The same for one that nobody has seen to be gone, after its last write.
+  // The same for an incarnation without such a mark, measured from its last
+  // write.
   base::Duration seal_overdue_delay = base::Milliseconds(7'200'000);
-  // How often this VM looks whether it has something to roll up.
+  // How often this VM checks whether it has segments to roll up.
   base::Duration roll_up_interval = base::Milliseconds(300'000);
   base::Duration store_timeout = base::Milliseconds(2'000);
-  // Buckets of ten minutes kept in memory through an outage of the store. The
-  // oldest beyond that are given up and reported as unaccounted.
+  // Maximum number of ten-minute buckets kept in memory during a store outage.
+  // When there are more, the oldest are dropped and reported as unaccounted.
   int maximum_buckets = 288;
 };
 
--- a/src/burn/burn_view.cc
+++ b/src/burn/burn_view.cc
@@ -1,4 +1,4 @@
-// Sums over the two windows of the view.
+// Sums the counts of the two windows of the view.
 
 #include "src/burn/burn_view.h"
 
--- a/src/burn/burn_view.h
+++ b/src/burn/burn_view.h
@@ -1,4 +1,5 @@
-// What admission reads of the burn: this VM's own counts of the last hour.
+// The burn rates that admission control uses, computed from this VM's own
+// counts of the last hour.
 
 #ifndef MEDLARSPREAD_BURN_BURN_VIEW_H_
 #define MEDLARSPREAD_BURN_BURN_VIEW_H_
@@ -10,18 +11,19 @@
 
 namespace medlarspread::burn {
 
-// The minutes of the two windows, the one in progress included.
+// Lengths of the two windows; each includes the current minute.
 constexpr std::int64_t kShortWindowMinutes = 5;
 constexpr std::int64_t kLongWindowMinutes = 60;
 
-// Stands for a burn without bound: something was bad and nothing is allowed.
+// Represents an unbounded burn rate: requests missed a target that allows no
+// misses.
 constexpr double kBurnWithoutBudget = 1e6;
 
-// The burn of each class: that of its latency or its coverage target, whichever
-// burns faster.
+// Computes each class's burn rate: the higher of its latency and coverage burn
+// rates.
 blackboard::BurnView MakeBurnView(const Cells& recent, std::int64_t now_minute);
 
-// Drops the cells that no window contains any more.
+// Drops the cells that are older than the longest window.
 void ForgetOldCells(Cells& recent, std::int64_t now_minute);
 
 }  // namespace medlarspread::burn
--- a/src/burn/count_writer.cc
+++ b/src/burn/count_writer.cc
@@ -1,9 +1,9 @@
-// One flush, in steps:
-// 1. A key in doubt is read back, and if it is gone, looked up in the roll-up
-//    of its hour.
-// 2. Else the next bucket that is due is written by compare-and-swap.
-// 3. A conflict or a lost reply leaves the key in doubt: step 1 again.
-// 4. A failure of the store ends the flush; the next one tries again.
+// Steps of a flush:
+// 1. If the outcome of an earlier write is unknown, read its key back. If the
+//    key no longer exists, look it up in the roll-up of its hour.
+// 2. Otherwise write the next due bucket by compare-and-swap.
+// 3. After a conflict or a lost reply the key is in doubt: go back to step 1.
+// 4. Any other store failure ends the flush; the next flush retries.
 
 #include "src/burn/count_writer.h"
 
@@ -18,7 +18,8 @@
          error.code == base::ErrorCode::kUnknownOutcome;
 }
 
-// With which sequence `key` is contained in one of the roll-ups.
+// Returns the sequence number with which `key` is listed as a source of one of
+// `roll_ups`, if it is.
 std::optional<std::int64_t> FindSource(
     const std::vector<store::Entry>& roll_ups,
     const std::string& key) {
@@ -99,7 +100,8 @@
     Step();
     return;
   }
-  log_.DidFail(result.error(), "burn counts not written; tried again later");
+  log_.DidFail(result.error(),
+               "could not write burn counts; the next flush will retry");
   counts_.DidNotWrite(key);
   Finish();
 }
@@ -117,7 +119,7 @@
     const base::Result<std::optional<store::Entry>>& result) {
   if (!result.is_ok()) {
     log_.DidFail(result.error(),
-                 "burn counts not read back; tried again later");
+                 "could not read burn counts back; the next flush will retry");
     Finish();
     return;
   }
@@ -128,7 +130,7 @@
   const store::Entry& entry = *result.value();
   const auto segment = DecodeSegment(entry.value);
   if (!segment.is_ok()) {
-    log_.DidFail(segment.error(), "burn counts at " + key + " are damaged");
+    log_.DidFail(segment.error(), "cannot decode the burn counts at " + key);
     Finish();
     return;
   }
@@ -151,7 +153,8 @@
     const std::string& key,
     const base::Result<std::vector<store::Entry>>& result) {
   if (!result.is_ok()) {
-    log_.DidFail(result.error(), "burn roll-up not read; tried again later");
+    log_.DidFail(result.error(),
+                 "could not read the burn roll-up; the next flush will retry");
     Finish();
     return;
   }
--- a/src/burn/count_writer.h
+++ b/src/burn/count_writer.h
@@ -1,5 +1,5 @@
-// Writes this VM's counts to the store: at each flush the current bucket and
-// the oldest ones that are due, one call after another.
+// Writes this VM's counts to the store. Each flush writes the current bucket
+// and the oldest buckets that are due, one call at a time.
 
 #ifndef MEDLARSPREAD_BURN_COUNT_WRITER_H_
 #define MEDLARSPREAD_BURN_COUNT_WRITER_H_
@@ -16,7 +16,7 @@
 
 namespace medlarspread::burn {
 
-// Lives on the control sequence, owned by a std::shared_ptr.
+// Runs on the control sequence. Must be owned by a std::shared_ptr.
 class CountWriter : public std::enable_shared_from_this<CountWriter> {
  public:
   CountWriter(BurnSettings settings,
@@ -24,8 +24,8 @@
               OwnCounts& counts,
               base::Log log);
 
-  // Runs `done` once nothing more is due, enough is written, or the store has
-  // failed. Must not be called while a flush is under way.
+  // Runs `done` when nothing more is due, the write limit is reached, or a
+  // store call has failed. Must not be called while a flush is in progress.
   void Flush(bool is_stopping, std::function<void()> done);
 
   bool is_flushing() const { return done_ != nullptr; }
@@ -47,7 +47,7 @@
   const store::Store store_;
   OwnCounts& counts_;
   const base::Log log_;
-  // Set while a flush is under way.
+  // Set while a flush is in progress.
   std::function<void()> done_;
   bool is_stopping_ = false;
   int writes_left_ = 0;
--- a/src/burn/counts.cc
+++ b/src/burn/counts.cc
@@ -1,4 +1,4 @@
-// Judging of one request by the targets in force when it was asked.
+// Evaluates single requests against the targets in force when they arrived.
 
 #include "src/burn/counts.h"
 
--- a/src/burn/counts.h
+++ b/src/burn/counts.h
@@ -1,6 +1,6 @@
-// Exact integer counts of requests, and the cells they are kept in: one cell
-// for each class, minute and set of targets in force when the request was
-// asked. All of the burn report is sums of these cells.
+// Exact integer counts of requests, and the cells that hold them. There is one
+// cell per class, minute and set of targets in force when the requests arrived.
+// The whole burn report is computed from sums of these cells.
 
 #ifndef MEDLARSPREAD_BURN_COUNTS_H_
 #define MEDLARSPREAD_BURN_COUNTS_H_
@@ -39,13 +39,13 @@
   friend bool operator==(const Counts&, const Counts&) = default;
 };
 
-// The targets a request is judged by, in integers so that cells of different
-// VMs compare and add up exactly.
+// The targets that a request is evaluated against. Integers, so that cells of
+// different VMs compare and add up exactly.
 struct JudgedBy {
   std::int64_t revision = 0;
   std::int64_t latency_us = 0;
   std::int64_t coverage_ppm = 0;
-  // How many of a million requests may miss the target: the error budget.
+  // Error budget: how many of a million requests may miss the target.
   std::int64_t latency_allowed_ppm = 0;
   std::int64_t coverage_allowed_ppm = 0;
 
@@ -54,8 +54,8 @@
 };
 
 struct CellKey {
-  // Minutes since 1970 by the wall clock of the VM that was asked. The first
-  // minute of the hour in cells that were rolled up to hours.
+  // Minutes since 1970 by the wall clock of the VM that received the request.
+  // In cells rolled up to hours, the first minute of the hour.
   std::int64_t minute = 0;
   std::string class_name;
   JudgedBy judged_by;
@@ -66,16 +66,17 @@
 
 using Cells = std::map<CellKey, Counts>;
 
-// The cell that `record` belongs to and what it adds there.
+// The cell that `record` belongs to, and the counts that it adds to this cell.
 CellKey KeyOf(const RequestRecord& record);
 Counts CountOf(const RequestRecord& record);
 
 void Add(const Cells& from, Cells& to);
 
-// Removes `part`, which must be contained in `from`; empty cells are dropped.
+// Subtracts `part`, which must be contained in `from`; cells that become empty
+// are removed.
 void Subtract(const Cells& part, Cells& from);
 
-// The floor of `wall_ms` in minutes, also for times before 1970.
+// Returns `wall_ms` in minutes, rounded down; also for times before 1970.
 std::int64_t MinuteOf(std::int64_t wall_ms);
 
 }  // namespace medlarspread::burn
--- a/src/burn/day_roll_up.cc
+++ b/src/burn/day_roll_up.cc
@@ -1,9 +1,10 @@
-// One hour is rolled up into its day:
-// 1. Close the hour's segments, so that nothing is folded into them any more.
-// 2. Leave out those of whose sources one still exists: the day will not list
-//    the sources, so they have to be gone for good.
-// 3. Fold them into the day by one swap.
-// 4. Erase them. Only now may they go.
+// Rolls up one hour into its day:
+// 1. Close the hour's segments, so that nothing more is merged into them.
+// 2. Skip the segments that have a source which still exists. The day segment
+//    does not list these sources, so they must have been erased before, or they
+//    would be counted twice.
+// 3. Merge the remaining segments into the day with a single compare-and-swap.
+// 4. Erase the merged segments, which must not happen before step 3 succeeds.
 
 #include "src/burn/day_roll_up.h"
 
@@ -94,7 +95,7 @@
   steps_.Next();
 }
 
-// Unless the list is read, none of the failure domain's segments is kept.
+// If the list cannot be read, all segments of the failure domain are skipped.
 void DayRollUp::KeepThoseWithoutSources(std::shared_ptr<HourPass> pass,
                                         const std::string& failure_domain) {
   steps_.TryList(
--- a/src/burn/day_roll_up.h
+++ b/src/burn/day_roll_up.h
@@ -1,4 +1,4 @@
-// Rolls up the hours of all failure domains into days.
+// Rolls up the hour segments of all failure domains into day segments.
 
 #ifndef MEDLARSPREAD_BURN_DAY_ROLL_UP_H_
 #define MEDLARSPREAD_BURN_DAY_ROLL_UP_H_
@@ -13,20 +13,20 @@
 
 namespace medlarspread::burn {
 
-// Works by steps of `steps`, which must outlive it.
+// Queues its work in `steps`, which must outlive it.
 class DayRollUp {
  public:
   explicit DayRollUp(StoreSteps& steps);
 
-  // One step, which pushes the others: rolls up one hour, counted from 1970.
+  // Queues the steps that roll up one hour; `hour` counts from 1970.
   void Start(std::int64_t hour);
-  // One step.
+  // Erases the segment of `day`.
   void EraseDay(std::int64_t day);
 
  private:
   struct HourPass {
     std::int64_t hour = 0;
-    // The hour's segments of all failure domains.
+    // The hour's segments, one or more per failure domain.
     std::vector<StoredSegment> hours;
   };
 
--- a/src/burn/domain_roll_up.cc
+++ b/src/burn/domain_roll_up.cc
@@ -1,8 +1,9 @@
-// A pass over a failure domain, by the VM that holds it:
-// 1. Read the marks of VMs seen to be gone, and the segments of the VMs.
-// 2. Seal open segments of writers that are gone.
-// 3. Fold closed segments into the one of their hour, by one swap an hour.
-// 4. Erase what is contained there. Only now may it go.
+// Steps of a pass over a failure domain, made by the VM responsible for it:
+// 1. Read the marks of VMs that are gone, and the segments of the VMs.
+// 2. Seal the open segments of writers that are gone.
+// 3. Merge closed segments into the segment of their hour, with one
+//    compare-and-swap per hour.
+// 4. Erase the merged segments, which must not happen before step 3 succeeds.
 
 #include "src/burn/domain_roll_up.h"
 
@@ -19,9 +20,10 @@
 
 constexpr std::int64_t kHoursPerDay = kMinutesPerDay / kMinutesPerHour;
 constexpr std::int64_t kMarkKeptMs = kMinutesPerDay * kMillisecondsPerMinute;
-// A younger hour cannot have been rolled up into its day.
+// Hours more recent than this have not been rolled up into their day yet.
 constexpr std::int64_t kSurelyNotInDayHours = 2;
-// Well below what the store takes; the next generation takes the rest.
+// Size limit of a roll-up, well below the store's limit for values. What
+// exceeds it goes to the next generation.
 constexpr std::size_t kLargestRollUp = 500'000;
 
 std::int64_t NextGeneration(const Segment& day,
@@ -123,7 +125,7 @@
   steps_.Next();
 }
 
-// A mark has to stay as long as a segment of its VM is open.
+// A mark must be kept as long as a segment of its VM is open.
 void DomainRollUp::EraseOldMarks(const DomainPass& pass,
                                  const std::set<VmIncarnation>& left) {
   for (const store::Entry& mark : pass.old_marks) {
@@ -139,12 +141,13 @@
   steps_.List(prefix, [this, pass](const std::vector<store::Entry>& entries) {
     pass->hours = steps_.Decode(entries);
     if (pass->hours.size() != entries.size()) {
-      // What a damaged roll-up contains is not known.
+      // The sources of a roll-up that cannot be decoded are unknown, so skip
+      // the hour.
       steps_.Next();
       return;
     }
-    // NOTE: the day is read after the list of hours. An hour that
-    // is missing from the list is in the day by then.
+    // NOTE: the day must be read after the list of hours: an hour that is
+    // missing from the list is then already in the day.
     const std::int64_t now_hour =
         MinuteOf(clock_.WallMilliseconds()) / kMinutesPerHour;
     if (now_hour - pass->hour < kSurelyNotInDayHours) {
--- a/src/burn/domain_roll_up.h
+++ b/src/burn/domain_roll_up.h
@@ -1,4 +1,4 @@
-// Rolls up the segments of the VMs of one failure domain into hours.
+// Rolls up the segments of a failure domain's VMs into hour segments.
 
 #ifndef MEDLARSPREAD_BURN_DOMAIN_ROLL_UP_H_
 #define MEDLARSPREAD_BURN_DOMAIN_ROLL_UP_H_
@@ -16,7 +16,7 @@
 
 namespace medlarspread::burn {
 
-// Works by steps of `steps`, which must outlive it, as must `board`.
+// Queues its work in `steps`. `steps` and `board` must outlive it.
 class DomainRollUp {
  public:
   DomainRollUp(BurnSettings settings,
@@ -24,17 +24,18 @@
                const blackboard::Blackboard& board,
                StoreSteps& steps);
 
-  // One step, which pushes the others.
+  // Queues the steps of a pass over `failure_domain`.
   void Start(const std::string& failure_domain);
 
  private:
-  // What a pass over the failure domain has read so far.
+  // What a pass has read of the failure domain so far.
   struct DomainPass {
     std::string failure_domain;
     SealInput input;
     std::vector<store::Entry> old_marks;
   };
-  // What is to be folded into one hour, and what is there already.
+  // The segments to merge into one hour, and the segments that the hour already
+  // has.
   struct HourPass {
     std::int64_t hour = 0;
     std::string failure_domain;
--- a/src/burn/gap_finder.cc
+++ b/src/burn/gap_finder.cc
@@ -1,4 +1,4 @@
-// Interval arithmetic on the time of incarnations.
+// Interval arithmetic on the running times of incarnations.
 
 #include "src/burn/gap_finder.h"
 
@@ -8,9 +8,10 @@
 
 namespace {
 
-// A minute of which less than this is covered says little about the rate.
+// Minutes with less covered time than this are not used to estimate the rate.
 constexpr std::int64_t kShortestSampleMs = 1'000;
-// An incarnation of which less than this is known has no rate of its own yet.
+// Incarnations with less covered time than this have no request rate of their
+// own yet.
 constexpr std::int64_t kEnoughToEstimateMs = kMillisecondsPerMinute;
 
 std::int64_t DivideRoundingUp(std::int64_t dividend, std::int64_t divisor) {
@@ -22,7 +23,7 @@
           std::min(one.until_ms, other.until_ms)};
 }
 
-// Requests of each class and minute, whatever they were judged by.
+// Counts the requests of each class and minute, for all targets together.
 std::map<std::string, std::map<std::int64_t, std::int64_t>> AskedPerMinute(
     const Cells& cells) {
   std::map<std::string, std::map<std::int64_t, std::int64_t>> asked;
@@ -32,7 +33,8 @@
   return asked;
 }
 
-// The requests in `length_ms` at the rate of one minute of `history`.
+// Returns the number of requests in `length_ms` at the rate of one minute of
+// `history`.
 std::int64_t Extrapolate(std::int64_t minute,
                          std::int64_t asked,
                          const WallRange& covered,
@@ -58,7 +60,7 @@
   }
 }
 
-// What remains of `gap` after `covered` is cut out: none, one or two pieces.
+// Returns what remains of `gap` without `covered`: zero, one or two gaps.
 std::vector<Gap> CutOut(const Gap& gap, const WallRange& covered) {
   std::vector<Gap> pieces;
   const WallRange before{
@@ -113,8 +115,8 @@
                     std::int64_t now_wall_ms) {
   std::int64_t gone_by = now_wall_ms;
   const std::int64_t last_known = histories.at(of).range.until_ms;
-  // A mark from before the last counts was made in error: it was only frozen
-  // or out of reach.
+  // A mark older than the last counts was a false positive: the VM was only
+  // frozen or unreachable.
   const auto mark = gone_wall_ms.find(of);
   if (mark != gone_wall_ms.end() && mark->second >= last_known) {
     gone_by = std::min(gone_by, mark->second);
--- a/src/burn/gap_finder.h
+++ b/src/burn/gap_finder.h
@@ -1,4 +1,4 @@
-// Finds the VM time for which no counts are at hand. Pure.
+// Finds the VM time for which there are no counts. Pure functions.
 
 #ifndef MEDLARSPREAD_BURN_GAP_FINDER_H_
 #define MEDLARSPREAD_BURN_GAP_FINDER_H_
@@ -14,10 +14,10 @@
 
 namespace medlarspread::burn {
 
-// What is known of one incarnation from its own segments.
+// What an incarnation's own segments say about it.
 struct IncarnationHistory {
   WallRange range;
-  // It has a segment that is not closed, and none that is its last.
+  // Has a segment that is not closed, and none marked as its last.
   bool is_open = false;
   bool is_last_seen = false;
   Cells cells;
@@ -28,28 +28,30 @@
 // The histories of all writers of `segments`.
 Histories HistoriesOf(const std::map<std::string, Segment>& segments);
 
-// When an incarnation that went without a word was gone at the latest: when
-// it was seen to be, or when the next incarnation of its VM started, or now.
+// Returns the latest time at which an incarnation that stopped without notice
+// may have run: when it was marked as gone, when the next incarnation of its VM
+// started, or now.
 std::int64_t GoneBy(const VmIncarnation& of,
                     const Histories& histories,
                     const std::map<VmIncarnation, std::int64_t>& gone_wall_ms,
                     std::int64_t now_wall_ms);
 
-// The gap of an incarnation after its last counts, with the requests estimated
-// from its busiest minute; from the busiest minute of all if less than a minute
-// of its own is known. `longest_request` is added to the time, because requests
-// under way at the last write were not counted in it.
+// Returns the gap after the last counts of an incarnation. The number of
+// requests is estimated from its busiest minute, or from the busiest minute of
+// all incarnations if less than a minute of its own is known. `longest_request`
+// is added to the length, because requests in progress at the last write were
+// not included in it.
 Gap GapAfter(const VmIncarnation& of,
              const Histories& histories,
              std::int64_t until_ms,
              base::Duration longest_request);
 
-// What is left of `gaps` once the covered time is taken out of them.
+// Returns `gaps` without the time in `covers`.
 std::vector<Gap> TrimGaps(const std::vector<Gap>& gaps,
                           const std::vector<Cover>& covers);
 
-// The part of `gap` that lies in `window`, with its share of the requests,
-// rounded up.
+// Returns the part of `gap` that lies in `window`, with its share of the
+// requests, rounded up.
 std::optional<Gap> ClipGap(const Gap& gap, const WallRange& window);
 
 }  // namespace medlarspread::burn
--- a/src/burn/gone_watch.cc
+++ b/src/burn/gone_watch.cc
@@ -1,4 +1,4 @@
-// Differences between two views of the membership, and the marks they cause.
+// Compares two membership views and writes marks for the members that are gone.
 
 #include "src/burn/gone_watch.h"
 
@@ -77,36 +77,40 @@
     ReadOldMark(key);
     return;
   }
-  // An attempt that may have taken effect is simply made again.
+  // Writing a mark again is harmless, so no distinction is made whether the
+  // write took effect.
   is_writing_ = false;
-  log_.DidFail(result.error(), "it is marked later that a VM is gone");
+  log_.DidFail(result.error(),
+               "could not mark a VM as gone in the store; will retry");
 }
 
-// There is a mark already: of the same loss, made by another VM or by a write
-// of ours whose reply was lost, or of an earlier time when the VM was only out
-// of reach. The later one holds.
+// The mark exists already: it was written for the same loss by another VM, or
+// by a write of this VM whose reply was lost, or for an earlier time when the
+// VM was only unreachable. The later time is kept.
 void GoneWatch::ReadOldMark(const std::string& key) {
-  store_.read(
-      key, settings_.store_timeout,
-      [self = shared_from_this(),
-       key](const base::Result<std::optional<store::Entry>>& result) {
-        if (!result.is_ok()) {
-          self->is_writing_ = false;
-          self->log_.DidFail(result.error(), "an old mark was not read");
-          return;
-        }
-        const std::int64_t version =
-            result.value() ? result.value()->version : store::kAbsent;
-        const auto old = result.value() ? ParseMark(result.value()->value)
-                                        : std::optional<std::int64_t>();
-        if (old && *old >= *ParseMark(self->unwritten_.at(key))) {
-          self->is_writing_ = false;
-          self->unwritten_.erase(key);
-          self->WriteMarks();
-          return;
-        }
-        self->Write(key, version);
-      });
+  store_.read(key, settings_.store_timeout,
+              [self = shared_from_this(),
+               key](const base::Result<std::optional<store::Entry>>& result) {
+                if (!result.is_ok()) {
+                  self->is_writing_ = false;
+                  self->log_.DidFail(
+                      result.error(),
+                      "could not read the existing mark of a VM that is gone");
+                  return;
+                }
+                const std::int64_t version =
+                    result.value() ? result.value()->version : store::kAbsent;
+                const auto old = result.value()
+                                     ? ParseMark(result.value()->value)
+                                     : std::optional<std::int64_t>();
+                if (old && *old >= *ParseMark(self->unwritten_.at(key))) {
+                  self->is_writing_ = false;
+                  self->unwritten_.erase(key);
+                  self->WriteMarks();
+                  return;
+                }
+                self->Write(key, version);
+              });
 }
 
 }  // namespace medlarspread::burn
--- a/src/burn/gone_watch.h
+++ b/src/burn/gone_watch.h
@@ -1,5 +1,6 @@
-// Watches the list of members and marks in the store when one is gone, so that
-// the time it may have worked without its counts being written has an end.
+// Watches the membership and writes a mark to the store when a member is gone.
+// The mark limits the time for which the member may have run without writing
+// its counts.
 
 #ifndef MEDLARSPREAD_BURN_GONE_WATCH_H_
 #define MEDLARSPREAD_BURN_GONE_WATCH_H_
@@ -17,7 +18,7 @@
 
 namespace medlarspread::burn {
 
-// Lives on the control sequence, owned by a std::shared_ptr.
+// Runs on the control sequence. Must be owned by a std::shared_ptr.
 class GoneWatch : public std::enable_shared_from_this<GoneWatch> {
  public:
   GoneWatch(BurnSettings settings,
@@ -26,9 +27,9 @@
             const blackboard::Blackboard& board,
             base::Log log);
 
-  // Compares the members with those of the last call. One VM, computed from
-  // the list, writes the mark; marks that the store did not take are kept and
-  // tried again with the next call of WriteMarks().
+  // Compares the members with those of the last call. One VM, chosen from the
+  // member list by rendezvous hashing, writes the mark. Marks that the store
+  // did not accept are kept and retried by the next call of WriteMarks().
   void Look();
   void WriteMarks();
 
@@ -46,7 +47,7 @@
   const blackboard::Blackboard& board_;
   const base::Log log_;
   std::shared_ptr<const blackboard::MembershipView> last_view_;
-  // Values by key.
+  // Marks that are not in the store yet: values by key.
   std::map<std::string, std::string> unwritten_;
   bool is_writing_ = false;
 };
--- a/src/burn/judgement.cc
+++ b/src/burn/judgement.cc
@@ -1,4 +1,4 @@
-// Sums, burn rates and verdicts.
+// Computes sums, burn rates and verdicts.
 
 #include "src/burn/judgement.h"
 
--- a/src/burn/judgement.h
+++ b/src/burn/judgement.h
@@ -1,4 +1,4 @@
-// Judges sums of counts against what their targets allow.
+// Compares sums of counts with what their targets allow.
 
 #ifndef MEDLARSPREAD_BURN_JUDGEMENT_H_
 #define MEDLARSPREAD_BURN_JUDGEMENT_H_
@@ -12,8 +12,8 @@
 
 namespace medlarspread::burn {
 
-// Counts together with how many bad requests the targets in force allow for
-// them, in millionths of a request.
+// Counts, and how many bad requests the targets in force allow for them, in
+// millionths of a request.
 struct JudgedSum {
   Counts counts;
   std::int64_t latency_allowed_millionths = 0;
@@ -27,19 +27,20 @@
 // Sums the cells whose minute starts in `range`.
 JudgedSum SumOver(const Cells& cells, const WallRange& range);
 
-// Bad over allowed. Absent when nothing is allowed although something was bad.
+// Returns bad over allowed requests. Absent if there were bad requests but none
+// are allowed.
 std::optional<double> BurnRate(std::int64_t bad,
                                std::int64_t allowed_millionths);
 
-// Judges one target. `unaccounted` requests are taken for bad in the worst
-// case, each with an allowance of `allowed_ppm` of its own.
+// Evaluates one target. In the worst case all `unaccounted` requests were bad;
+// each adds an allowance of `allowed_ppm`.
 TargetReport JudgeTarget(std::int64_t good,
                          std::int64_t asked,
                          std::int64_t allowed_millionths,
                          std::int64_t unaccounted,
                          std::int64_t allowed_ppm);
 
-// The calendar quarter (UTC) that `wall_ms` lies in.
+// Returns the calendar quarter (UTC) that contains `wall_ms`.
 WallRange QuarterOf(std::int64_t wall_ms);
 
 }  // namespace medlarspread::burn
--- a/src/burn/keys.cc
+++ b/src/burn/keys.cc
@@ -1,4 +1,4 @@
-// Composing and parsing of the store's keys.
+// Formats and parses the keys in the store.
 
 #include "src/burn/keys.h"
 
--- a/src/burn/keys.h
+++ b/src/burn/keys.h
@@ -1,5 +1,5 @@
-// The keys of the burn report in the platform's store. A key is also the
-// identifier of the segment that it holds.
+// Keys of the burn report in the platform's store. A key is also the identifier
+// of the segment stored under it.
 //
 //   burn/raw/DOMAIN/VM/INCARNATION/BUCKET/PART   one VM, ten minutes
 //   burn/hour/HOUR/DOMAIN/GENERATION             one failure domain, one hour
@@ -29,7 +29,8 @@
   std::string failure_domain;
   VmIncarnation writer;
   std::int64_t bucket = 0;
-  // Grows when a segment of the bucket was closed and more was to be counted.
+  // Incremented when counts arrive for a bucket whose segment is already
+  // closed.
   std::int64_t part = 0;
 
   std::int64_t start_minute() const { return bucket * kMinutesPerBucket; }
@@ -42,7 +43,8 @@
 struct HourKey {
   std::int64_t hour = 0;
   std::string failure_domain;
-  // Grows when the segment of the hour was closed and late counts came.
+  // Incremented when counts arrive for an hour whose segment is already closed
+  // or full.
   std::int64_t generation = 0;
 
   std::string ToString() const;
@@ -62,8 +64,8 @@
 
 std::optional<GoneKey> ParseGoneKey(std::string_view key);
 
-// The value of a mark: when the VM was seen to be gone, milliseconds since 1970
-// by the clock of the VM that saw it.
+// The value of a mark: when the VM was seen to be gone, in milliseconds since
+// 1970 by the clock of the VM that noticed it.
 std::string EncodeMark(std::int64_t wall_ms);
 std::optional<std::int64_t> ParseMark(const std::string& value);
 
--- a/src/burn/own_counts.cc
+++ b/src/burn/own_counts.cc
@@ -1,4 +1,4 @@
-// Bookkeeping of what was counted against what is known to be in the store.
+// Tracks what was counted and what is known to be in the store.
 
 #include "src/burn/own_counts.h"
 
@@ -15,7 +15,8 @@
 
 constexpr std::int64_t kMillisecondsPerBucket =
     kMinutesPerBucket * kMillisecondsPerMinute;
-// A roll-up of an hour lists its sources for longer than this after a write.
+// A source stays listed in the roll-up of its hour for longer than this after
+// it was written.
 constexpr std::int64_t kSourcesKeptMs =
     6 * kMinutesPerHour * kMillisecondsPerMinute;
 
@@ -44,7 +45,7 @@
   return std::find(gaps.begin(), gaps.end(), gap) != gaps.end();
 }
 
-// Joins gaps that touch, so that a long outage does not make a long list.
+// Merges adjacent gaps, so that a long outage does not produce a long list.
 void AddGap(const Gap& gap, std::vector<Gap>& gaps) {
   for (Gap& other : gaps) {
     if (other.range.from_ms <= gap.range.until_ms &&
@@ -142,7 +143,7 @@
     const Part part = std::move(oldest->second);
     next_parts_[oldest->first] = part.key.part + 1;
     buckets_.erase(oldest);
-    // What is not known to be in the store is given up, all of it.
+    // Everything that is not known to be in the store is dropped.
     Cells lost = part.cells;
     Subtract(part.acknowledged.cells, lost);
     const bool is_stored = part.version != store::kAbsent;
@@ -181,9 +182,9 @@
          buckets_.begin()->second.key.bucket == part.key.bucket;
 }
 
-// An open part must stay in the store as long as the incarnation lives, so that
-// its death cannot go unnoticed. So the current part is closed last of all, and
-// another only once the current one is written.
+// The store must hold an open part as long as the incarnation runs, so that a
+// crash is noticed. Therefore the current part is closed last, and other parts
+// are closed only after the current part has been written.
 bool OwnCounts::MayClose(const Part& part, bool is_stopping) const {
   const std::int64_t current = CurrentBucket();
   if (part.key.bucket == current) {
@@ -218,8 +219,8 @@
     const bool is_wanted = part.is_changed || MayClose(part, is_stopping);
     return is_wanted && !part.is_in_doubt;
   };
-  // The current part goes first: it tells that this incarnation lives. Then
-  // the oldest.
+  // Write the current part first, because it shows that this incarnation is
+  // running; then the oldest part.
   Part* next = nullptr;
   const auto current = buckets_.find(CurrentBucket());
   if (current != buckets_.end() && is_due(current->second)) {
@@ -285,8 +286,8 @@
     return;
   }
   if (found.nonce != nonce_) {
-    // Another process has our name and incarnation. Its counts stay, ours go
-    // elsewhere.
+    // Another process has the same name and incarnation. Keep its counts and
+    // write this process's counts under the next key.
     StartNextPart(*part);
     return;
   }
@@ -326,8 +327,8 @@
   DidEndUnseen(*part);
 }
 
-// From now on every segment says what time it covers, because the VM that made
-// the seal has noted a gap that was none.
+// From now on every segment states the time that it covers, because the VM that
+// sealed the segment has recorded a gap that did not exist.
 void OwnCounts::DidFindSeal() {
   was_sealed_ = true;
   for (auto& [bucket, part] : buckets_) {
@@ -336,8 +337,8 @@
   }
 }
 
-// What the last attempt added may or may not be contained in the roll-up: it is
-// given up, so that it is neither counted twice nor taken for good.
+// The roll-up may or may not contain the counts that the last attempt added.
+// They are dropped, so that they are neither counted twice nor counted as good.
 void OwnCounts::DidEndUnseen(Part& part) {
   if (!part.attempted) {
     DidEnd(part, Segment(part.acknowledged), true);
@@ -358,13 +359,13 @@
   if (is_sealed) {
     DidFindSeal();
   }
-  // 1. What the store holds is done with.
+  // 1. Remove the counts that the store holds.
   Subtract(final.cells, part.cells);
   std::erase_if(part.gaps,
                 [&final](const Gap& gap) { return Contains(final.gaps, gap); });
   part.range.from_ms = std::min(final.range.until_ms, part.range.until_ms);
   next_parts_[part.key.bucket] = part.key.part + 1;
-  // 2. Without anything left to say, the bucket is forgotten.
+  // 2. If nothing is left to write, drop the bucket.
   const bool is_covered = !is_sealed || part.range.length_ms() == 0;
   const bool is_current = part.key.bucket == CurrentBucket();
   if (part.cells.empty() && part.gaps.empty() && is_covered &&
@@ -372,7 +373,7 @@
     buckets_.erase(part.key.bucket);
     return;
   }
-  // 3. The rest is the next part.
+  // 3. Move the remaining counts to the next part.
   StartNextPart(part);
 }
 
--- a/src/burn/own_counts.h
+++ b/src/burn/own_counts.h
@@ -1,10 +1,10 @@
 // The counts of this VM incarnation: absolute totals per bucket of ten minutes,
-// and what is known of each bucket's value in the store. Pure: count_writer.h
-// makes the calls and reports back here.
+// and what is known of each bucket's value in the store. Makes no calls itself:
+// count_writer.h makes them and reports their results back here.
 //
-// Invariant: a request is in exactly one part of its bucket. A part that is
-// closed, by this VM or by another one that took it for gone, is final; what
-// comes later goes to the next part, under another key.
+// Invariant: a request is in exactly one part of its bucket. A part that was
+// closed, by this VM or by another one that considered this VM gone, is final;
+// later counts go to the next part, which has another key.
 
 #ifndef MEDLARSPREAD_BURN_OWN_COUNTS_H_
 #define MEDLARSPREAD_BURN_OWN_COUNTS_H_
@@ -35,35 +35,37 @@
             base::Clock clock,
             std::int64_t nonce);
 
-  // Adds counts that the traffic threads have taken. What is recorded so far is
-  // covered up to now.
+  // Adds counts taken from the traffic threads. Everything up to now counts as
+  // covered.
   void Collect(const Cells& cells);
 
-  // The next write that is due, if any. The caller has to report its outcome
-  // before it asks again.
+  // Returns the next write that is due, if any. The caller must report its
+  // outcome before it calls this again.
   std::optional<PendingWrite> NextWrite(bool is_stopping);
-  // A key whose value has to be read before it is written again.
+  // Returns a key in doubt, whose value must be read back before the next
+  // write.
   std::optional<std::string> NextDoubt() const;
 
   void DidWrite(const std::string& key, std::int64_t version);
-  // Certainly nothing was written.
+  // The write certainly did not take effect.
   void DidNotWrite(const std::string& key);
-  // It may have been written, or the key's version is not the expected one.
+  // The write may have taken effect, or the key's version is not the expected
+  // one.
   void DidDoubt(const std::string& key);
 
-  // The value of a key in doubt, as read back.
+  // Takes the value of a key in doubt as read back from the store.
   void DidReadBack(const std::string& key,
                    const Segment& found,
                    std::int64_t version);
-  // The key in doubt does not exist, and `rolled_up` says with which sequence
-  // it is contained in the roll-up of its hour, if it is.
+  // The key in doubt does not exist. `rolled_up` is the sequence number with
+  // which the roll-up of its hour contains it, if it does.
   void DidReadAbsent(const std::string& key,
                      std::optional<std::int64_t> rolled_up);
 
-  // This incarnation's segments as they would be written now.
+  // Returns this incarnation's segments as they would be written now.
   std::map<std::string, Segment> Segments() const;
 
-  // Whether everything is written and closed; only after stopping.
+  // Whether everything is written and closed; true only after stopping.
   bool is_finished() const { return buckets_.empty(); }
 
   std::int64_t clock_step_ms() const { return clock_step_ms_; }
@@ -76,18 +78,19 @@
     Cells cells;
     WallRange range;
     bool is_after_seal = false;
-    // Counts given up for want of memory or of certainty.
+    // Counts that were dropped because of the memory limit or because it is
+    // unknown whether they were stored.
     std::vector<Gap> gaps;
-    // Of the last write tried.
+    // Sequence number of the last attempted write.
     std::int64_t sequence = 0;
-    // Of the last write that is known to have taken effect.
+    // Version and value of the last write that is known to have taken effect.
     std::int64_t version = 0;
     Segment acknowledged;
-    // A write under way or in doubt.
+    // A write in progress or in doubt.
     std::optional<Segment> attempted;
     std::int64_t attempted_wall_ms = 0;
     bool is_in_doubt = false;
-    // Something is to be written although no counts came since.
+    // A write is needed even if no counts were added.
     bool is_changed = true;
   };
 
@@ -101,26 +104,26 @@
   bool IsOnlyPartLeft(const Part& part) const;
   Segment MakeSegment(const Part& part, bool is_stopping) const;
   void DidFindSeal();
-  // It was rolled up so long ago that its sources are no longer listed.
+  // The part was rolled up so long ago that its sources are no longer listed.
   void DidEndUnseen(Part& part);
-  // What is in `part` goes under the next key from now on.
+  // Moves the contents of `part` to the next key.
   void StartNextPart(Part& part);
   // The part's value in the store is `final` and will not change any more.
   void DidEnd(Part& part, const Segment& final, bool is_sealed);
-  // Notes in the current part that `lost` was counted in `range` and cannot
-  // be written.
+  // Records a gap in the current part: the counts `lost` of `range` cannot be
+  // written.
   void GiveUp(const Cells& lost, WallRange range);
 
   const BurnSettings settings_;
   const base::Clock clock_;
   const std::int64_t nonce_;
   const std::int64_t start_wall_ms_;
-  // Wall time minus monotonic time at the last look.
+  // Wall time minus monotonic time when last checked.
   std::int64_t clock_difference_ms_ = 0;
   std::int64_t clock_step_ms_ = 0;
   // At most one open part for each bucket, by bucket.
   std::map<std::int64_t, Part> buckets_;
-  // The part that late counts of a bucket go to. One small entry for each ten
+  // The part number for late counts of a bucket. Holds one small entry per ten
   // minutes that this incarnation has run.
   std::map<std::int64_t, std::int64_t> next_parts_;
   // Set once another VM has sealed a segment of this incarnation.
--- a/src/burn/report.h
+++ b/src/burn/report.h
@@ -1,5 +1,5 @@
-// The service-level burn report as data. report_builder.h computes it,
-// report_format.h writes it out as text, JSON or HTML.
+// Data of the service-level burn report. report_builder.h computes it;
+// report_format.h formats it as text, JSON or HTML.
 
 #ifndef MEDLARSPREAD_BURN_REPORT_H_
 #define MEDLARSPREAD_BURN_REPORT_H_
@@ -14,39 +14,41 @@
 namespace medlarspread::burn {
 
 enum class Verdict {
-  // Met even if every unaccounted request was bad.
+  // Met, even if every unaccounted request was bad.
   kMet,
-  // Met by what is counted, not if every unaccounted request was bad.
+  // Met by the counted requests, but not if every unaccounted request was bad.
   kOpen,
   kMissed,
-  // Nothing was asked.
+  // There were no requests.
   kIdle,
 };
 
-// How one target (latency or coverage) of one class did in one window. Refused
-// and unknown requests are bad: a target cannot be met by refusing.
+// Result of one target (latency or coverage) of one class in one window.
+// Refused and unknown requests are bad, so that refusing requests cannot
+// improve the result.
 struct TargetReport {
   std::int64_t good = 0;
   std::int64_t bad = 0;
-  // Bad requests that the target allows, in millionths of a request: the sum
-  // over requests of what the target in force when each was asked allows.
+  // How many bad requests the targets allow, in millionths of a request: the
+  // sum over all requests of the allowance in force when each arrived.
   std::int64_t allowed_millionths = 0;
-  // good / (good + bad); absent when nothing was asked.
+  // good / (good + bad); absent if there were no requests.
   std::optional<double> share;
-  // Bad over allowed; 1 spends the budget exactly. Absent when nothing is
-  // allowed although something was bad.
+  // Bad over allowed requests; 1 uses up the budget exactly. Absent if there
+  // were bad requests but none are allowed.
   std::optional<double> burn_rate;
   Verdict verdict = Verdict::kIdle;
 };
 
-// VM time for which no counts are at hand, within one window. Never good.
+// VM time within one window for which there are no counts. Never counted as
+// good.
 struct Unaccounted {
   // Time of VMs that stopped without writing their last counts, and of live
   // VMs whose counts are overdue; summed over VMs.
   std::int64_t vm_milliseconds = 0;
-  // Estimate of how many requests at most were asked in it.
+  // Estimated upper bound of the requests that arrived in this time.
   std::int64_t requests_estimate = 0;
-  // Time of live VMs since their last write, not overdue: its counts will come.
+  // Time since the last write of live VMs whose next write is not overdue.
   std::int64_t pending_vm_milliseconds = 0;
   std::int64_t pending_requests_estimate = 0;
 };
@@ -61,22 +63,22 @@
   TargetReport latency;
   TargetReport coverage;
   Unaccounted unaccounted;
-  // Upstream sends over shard answers, less one; absent without answers.
+  // Upstream sends over shard answers, minus one; absent without answers.
   std::optional<double> extra_load;
 };
 
-// The budget of one target over the quarter so far. It grows with each request
-// by what the target allows and shrinks by one with each bad request.
+// Error budget of one target over the quarter so far. Each request adds what
+// the target allows; each bad request subtracts one.
 struct BudgetReport {
   std::int64_t left_millionths = 0;
   // The same if every unaccounted request was bad.
   std::int64_t left_at_worst_millionths = 0;
-  // When nothing is left at the rate of the last hour; absent when it will not
-  // run out at that rate. Not above now when it is spent already.
+  // When the budget runs out at the rate of the last hour; absent if it will
+  // not run out at that rate. Not later than now if it is already spent.
   std::optional<std::int64_t> runs_out_wall_ms;
 };
 
-// One point of a class's history, for the picture.
+// One point of a class's history, for the chart.
 struct HistoryPoint {
   std::int64_t start_wall_ms = 0;
   std::int64_t minutes = 0;
@@ -89,7 +91,7 @@
 
 struct ClassReport {
   std::string name;
-  // The targets that the latest requests were judged by.
+  // The targets that the latest requests were evaluated against.
   JudgedBy latest_targets;
   std::vector<WindowReport> windows;
   BudgetReport latency_budget;
@@ -98,7 +100,7 @@
   std::vector<HistoryPoint> history;
 };
 
-// One stretch of VM time without counts, for the operator to follow up.
+// One period of VM time without counts, for the operator to investigate.
 struct GapReport {
   std::string vm;
   std::int64_t incarnation = 0;
@@ -113,22 +115,23 @@
   std::int64_t made_wall_ms = 0;
   std::int64_t quarter_start_wall_ms = 0;
   std::int64_t quarter_end_wall_ms = 0;
-  // Whether the store could be read just now. If not, the report covers this
-  // VM's own counts and, of other VMs, what was last read.
+  // Set if the store could not be read. The report then covers this VM's own
+  // counts and the last known counts of other VMs.
   bool is_partial = false;
   // When the other VMs' counts were read; absent if never.
   std::optional<std::int64_t> others_read_wall_ms;
-  // Why it is partial, one line each.
+  // Why the report is partial, one line per reason.
   std::vector<std::string> notes;
-  // VM incarnations whose counts are in the report as such; older ones are
-  // contained in roll-ups.
+  // Number of VM incarnations whose own segments are in the report; older ones
+  // are contained in roll-ups.
   std::int64_t incarnations = 0;
-  // Minutes are cut by each VM's own clock. The largest lead of another VM's
-  // clock over this one's, and the largest step of any VM's clock, as seen.
+  // Each VM assigns requests to minutes by its own clock. These are the largest
+  // observed lead of another VM's clock over this VM's clock, and the largest
+  // observed step of any VM's clock.
   std::int64_t clock_lead_ms = 0;
   std::int64_t clock_step_ms = 0;
   std::vector<ClassReport> classes;
-  // The longest first; `gaps_omitted` more are only in the sums.
+  // The longest gaps first; `gaps_omitted` more are included only in the sums.
   std::vector<GapReport> gaps;
   std::int64_t gaps_omitted = 0;
 };
--- a/src/burn/report_builder.cc
+++ b/src/burn/report_builder.cc
@@ -1,4 +1,4 @@
-// Puts the report together from sums over windows and from gaps.
+// Builds the report from sums over windows and from gaps.
 
 #include "src/burn/report_builder.h"
 
@@ -135,7 +135,7 @@
     }
   }
 
-  // Members and lost VMs of which not a single write is known.
+  // Adds members and lost VMs of which no write is known.
   void DescribeSilentVms(BurnReport& report) const {
     std::set<VmIncarnation> known;
     for (const auto& [of, history] : histories_) {
@@ -331,11 +331,11 @@
   }
 
   const ReportInput& input_;
-  // Those that no other segment contains.
+  // Segments that are not contained in another segment.
   std::map<std::string, Segment> segments_;
   Histories histories_;
   std::vector<NotedGap> gaps_;
-  // The end of the minute in progress.
+  // End of the current minute.
   std::int64_t end_ms_ = 0;
 };
 
--- a/src/burn/report_format.cc
+++ b/src/burn/report_format.cc
@@ -1,4 +1,4 @@
-// Choice of the writer, and the pieces of text that the writers share.
+// Selects the writer, and implements the formatting shared by the writers.
 
 #include "src/burn/report_format.h"
 
--- a/src/burn/report_format.h
+++ b/src/burn/report_format.h
@@ -1,4 +1,4 @@
-// Writes a burn report out as text, JSON or one self-contained HTML page.
+// Formats a burn report as text, JSON or one self-contained HTML page.
 
 #ifndef MEDLARSPREAD_BURN_REPORT_FORMAT_H_
 #define MEDLARSPREAD_BURN_REPORT_FORMAT_H_
--- a/src/burn/report_html.cc
+++ b/src/burn/report_html.cc
@@ -1,5 +1,5 @@
-// The burn report as one HTML page with inline style and SVG: nothing is loaded
-// from outside and nothing runs in it.
+// Writes the burn report as one HTML page with inline style and SVG; the page
+// loads nothing and contains no scripts.
 
 #include <spdlog/fmt/fmt.h>
 
--- a/src/burn/report_json.cc
+++ b/src/burn/report_json.cc
@@ -1,6 +1,6 @@
-// The burn report as JSON. Field names follow the structs of report.h; what is
-// absent there is null here. Budgets are in millionths of a request, so that
-// they stay exact.
+// Writes the burn report as JSON. The fields are named after the structs in
+// report.h; absent values are null. Budgets are in millionths of a request, so
+// that they stay exact.
 
 #include <cpprest/json.h>
 
--- a/src/burn/report_text.cc
+++ b/src/burn/report_text.cc
@@ -1,4 +1,5 @@
-// The burn report as text: one table per class, one row per window and target.
+// Writes the burn report as text: one table per class, one row per window and
+// target.
 
 #include <spdlog/fmt/fmt.h>
 
--- a/src/burn/roll_up.cc
+++ b/src/burn/roll_up.cc
@@ -1,4 +1,4 @@
-// Sealing, folding, and who does it.
+// Seals and merges segments, and selects the VM that does it.
 
 #include "src/burn/roll_up.h"
 
@@ -22,7 +22,7 @@
   return minute / kMinutesPerHour * kMinutesPerHour;
 }
 
-// Whether an open segment of `of` may be closed in its place.
+// Whether another VM may close an open segment of `of`.
 bool IsGoneForLong(const IncarnationHistory& history,
                    std::int64_t gone_by,
                    std::int64_t now_wall_ms,
@@ -103,8 +103,8 @@
         return raw->segment.range;
       });
       sealed.push_back(Seal(*raws.front()));
-      // The gap goes with the last open segment, so that it is noted once
-      // whichever of the swaps fail.
+      // The gap is recorded with the last open segment, so that it is recorded
+      // once even if some of the compare-and-swaps fail.
       if (raws.size() == 1 && history.is_open) {
         sealed.back().segment.gaps.push_back(
             GapAfter(of, histories, gone_by, settings.longest_request));
--- a/src/burn/roll_up.h
+++ b/src/burn/roll_up.h
@@ -1,9 +1,10 @@
-// What rolling up does to segments. Pure: roll_up_runner.h makes the calls.
+// Operations of the roll-up on segments. Pure: roll_up_runner.h makes the store
+// calls.
 //
-// Every VM may roll up at any time. Which one does is computed from the list of
-// members, to save calls; that two do it at once costs one of them a refused
-// swap and counts nothing twice, because a roll-up is swapped in whole together
-// with the list of its sources.
+// Any VM may roll up at any time. To save calls, one VM is chosen from the
+// member list. If two VMs do the same work, the compare-and-swap of one of them
+// fails and nothing is counted twice, because a roll-up is written in one value
+// together with the list of its sources.
 
 #ifndef MEDLARSPREAD_BURN_ROLL_UP_H_
 #define MEDLARSPREAD_BURN_ROLL_UP_H_
@@ -21,30 +22,30 @@
 
 namespace medlarspread::burn {
 
-// Hours are rolled up into their day once they are this old. Longer than the
-// longest trailing window, which needs minutes.
+// Hours are rolled up into their day once they are this old. This exceeds the
+// longest trailing window, which needs counts per minute.
 constexpr std::int64_t kHoursKept = 8;
-// Days are kept for the quarter in progress and the one before it.
+// Days are kept for the current and the previous quarter.
 constexpr std::int64_t kDaysKept = 190;
 
-// A segment as it is in the store.
+// A segment together with its key and version in the store.
 struct StoredSegment {
   std::string key;
   std::int64_t version = 0;
   Segment segment;
 };
 
-// The entries that can be decoded; the keys of the others go to `damaged`.
+// Decodes `entries`; keys of entries that cannot be decoded go to `damaged`.
 std::vector<StoredSegment> DecodeEntries(
     const std::vector<store::Entry>& entries,
     std::vector<std::string>& damaged);
 
-// Whether this VM is to do the work called `subject`: the live member with the
-// highest hash does (rendezvous hashing).
+// Whether this VM is responsible for the work named `subject`: the live member
+// with the highest hash is (rendezvous hashing).
 bool IsHolder(const blackboard::MembershipView& view,
               const std::string& subject);
 
-// The members that are there, live or leaving.
+// Returns the current members, live or leaving.
 std::set<VmIncarnation> MembersOf(const blackboard::MembershipView& view);
 
 struct SealInput {
@@ -54,13 +55,14 @@
   std::int64_t now_wall_ms = 0;
 };
 
-// Closes the oldest open segment of each incarnation that is gone for long
-// enough. The last one also gets the gap after the incarnation's last counts.
+// Closes the oldest open segment of each incarnation that has been gone long
+// enough. The last open segment also gets the gap after the incarnation's last
+// counts.
 std::vector<StoredSegment> SealGone(const SealInput& input,
                                     const BurnSettings& settings);
 
-// Adds a closed segment to the roll-up of its hour or day. For a day, cells are
-// merged by hour.
+// Merges a closed segment into the roll-up of its hour or day. For a day, cells
+// are merged by hour.
 void Fold(const StoredSegment& source, bool is_day, Segment& roll_up);
 
 // Whether `roll_up` contains the segment of `key`.
--- a/src/burn/roll_up_runner.cc
+++ b/src/burn/roll_up_runner.cc
@@ -1,4 +1,4 @@
-// Chooses what falls to this VM.
+// Selects the work that this VM is responsible for.
 
 #include "src/burn/roll_up_runner.h"
 
@@ -13,11 +13,12 @@
 namespace {
 
 constexpr std::int64_t kHoursPerDay = kMinutesPerDay / kMinutesPerHour;
-// Older hours looked at, one a pass. The steps of an hour share no factor with
-// the turns, so that all get their turn although the VM changes every hour.
+// Number of older hours to check again, one per pass. The start shifts by
+// kTurnsPerHour each hour, which is coprime to this number, so that every older
+// hour is checked although the responsible VM changes each hour.
 constexpr std::int64_t kTurns = 47;
 constexpr std::int64_t kTurnsPerHour = 5;
-// Days looked at, one a pass, beyond those that are kept.
+// Number of days beyond the retention period to check, one per pass.
 constexpr std::int64_t kOldDaysLookedAt = 30;
 
 }  // namespace
@@ -42,8 +43,8 @@
   for (const auto& [name, member] : view->members) {
     failure_domains.insert(member.failure_domain);
   }
-  // Another VM each hour, so that one that does not reach the store holds
-  // nothing up for long.
+  // The responsible VM changes each hour, so that a VM that cannot reach the
+  // store does not block the roll-up for long.
   const std::string hour = "/" + std::to_string(now_hour);
   for (const std::string& failure_domain : failure_domains) {
     std::string subject = "burn/domain/";
@@ -53,8 +54,8 @@
     }
   }
   if (IsHolder(*view, "burn/day" + hour)) {
-    // The hour that is due now, and one of the older ones by turns, for counts
-    // that came late.
+    // Process the hour that is due now, and in turn one of the older hours, for
+    // counts that were written late.
     const std::int64_t due = now_hour - kHoursKept;
     const std::int64_t turn = (passes_ + kTurnsPerHour * now_hour) % kTurns;
     const std::int64_t old_day =
--- a/src/burn/roll_up_runner.h
+++ b/src/burn/roll_up_runner.h
@@ -1,5 +1,5 @@
-// Makes passes of the roll-up. Every step may be repeated, by any VM, without
-// counting anything twice; what fails is left for the next pass.
+// Runs passes of the roll-up. Any VM may repeat any step without counting
+// anything twice; failed work is left to the next pass.
 
 #ifndef MEDLARSPREAD_BURN_ROLL_UP_RUNNER_H_
 #define MEDLARSPREAD_BURN_ROLL_UP_RUNNER_H_
@@ -18,7 +18,8 @@
 
 namespace medlarspread::burn {
 
-// Lives on the control sequence. `done` of Run() has to keep it alive.
+// Runs on the control sequence. The `done` callback of Run() must keep it
+// alive.
 class RollUpRunner {
  public:
   RollUpRunner(const BurnSettings& settings,
@@ -27,8 +28,8 @@
                const blackboard::Blackboard& board,
                const base::Log& log);
 
-  // Does what falls to this VM by the list of members, then runs `done`. Must
-  // not be called while a pass is under way.
+  // Does the work this VM is responsible for according to the member list, then
+  // runs `done`. Must not be called while a pass is in progress.
   void Run(std::function<void()> done);
 
  private:
--- a/src/burn/segment.cc
+++ b/src/burn/segment.cc
@@ -1,5 +1,5 @@
-// The JSON form of a segment. Cells dominate its size: each is an array of
-// numbers whose first two point to the minute and to the table of targets.
+// Encodes segments as JSON. Cells make up most of the size, so each is an array
+// of numbers: an index into the table of targets, the minute, and the counts.
 
 #include "src/burn/segment.h"
 
@@ -28,7 +28,7 @@
   return array;
 }
 
-// Which row of the table of targets a cell belongs to.
+// The row in the table of targets that a cell refers to.
 using TargetsRow = std::pair<std::string, JudgedBy>;
 using TargetsTable = std::map<TargetsRow, std::int64_t>;
 
@@ -110,7 +110,8 @@
   std::vector<TargetsRow> table;
   for (const value& row : rows.as_array()) {
     if (row.size() != kTargetsFields) {
-      throw web::json::json_exception("targets row of another length");
+      throw web::json::json_exception(
+          "targets row has the wrong number of fields");
     }
     table.push_back(
         {row.at(0).as_string(),
@@ -125,7 +126,8 @@
   for (const value& row : rows.as_array()) {
     const auto index = static_cast<std::size_t>(Integer(row.at(0)));
     if (row.size() != kCellFields || index >= table.size()) {
-      throw web::json::json_exception("cell of another length or targets");
+      throw web::json::json_exception(
+          "cell has the wrong number of fields or an invalid targets index");
     }
     const TargetsRow& targets = table[index];
     cells[{Integer(row.at(1)), targets.first, targets.second}] +=
--- a/src/burn/segment.h
+++ b/src/burn/segment.h
@@ -1,10 +1,10 @@
 // The unit in which counts are kept in the platform's store.
 //
-// A segment is a value with an identifier that is never used again. A VM
-// incarnation writes one segment per bucket of ten minutes; once closed it is
-// folded into the segment of its failure domain and hour, and that into the
-// segment of the day. A segment names the segments it contains, so that a
-// reader that sees both counts them once, whoever stopped in between.
+// A segment is a value whose identifier is never reused. A VM incarnation
+// writes one segment per bucket of ten minutes. Closed segments are merged into
+// the segment of their failure domain and hour, and that one into the segment
+// of the day. A segment lists the segments that it contains, so that a reader
+// that sees both counts them once, even if a roll-up was interrupted.
 
 #ifndef MEDLARSPREAD_BURN_SEGMENT_H_
 #define MEDLARSPREAD_BURN_SEGMENT_H_
@@ -42,11 +42,12 @@
   friend auto operator<=>(const WallRange&, const WallRange&) = default;
 };
 
-// Time in which an incarnation ran, or may have run, and whose counts are lost.
+// Time in which an incarnation ran, or may have run, and for which its counts
+// are lost.
 struct Gap {
   VmIncarnation of;
   WallRange range;
-  // Estimate of the requests asked in it at most, by class.
+  // Estimated upper bound of the requests that arrived in it, by class.
   std::map<std::string, std::int64_t> requests;
 
   friend bool operator==(const Gap&, const Gap&) = default;
@@ -63,7 +64,7 @@
 // A segment that another one contains.
 struct Source {
   std::string id;
-  // How often it had been written when it was folded.
+  // The sequence number of the source when it was merged.
   std::int64_t sequence = 0;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): misfires on a defaulted <=>.
@@ -73,22 +74,22 @@
 struct Segment {
   // Set in a VM's own segment, empty in roll-ups.
   VmIncarnation writer;
-  // Drawn by the writing process. Tells two processes apart that were started
-  // with the same name and incarnation in error.
+  // Random number of the writing process. Distinguishes two processes that were
+  // started with the same name and incarnation by mistake.
   std::int64_t nonce = 0;
-  // Grows with each write of this segment.
+  // Incremented with each write of this segment.
   std::int64_t sequence = 0;
-  // What a VM's own segment accounts for: requests that were recorded by
+  // The time that a VM's own segment accounts for: requests recorded before
   // `range.until_ms`.
   WallRange range;
-  // Nothing will be added. Invariant: never unset again.
+  // No counts will be added. Invariant: never reset.
   bool is_closed = false;
-  // The incarnation stopped as planned at range.until_ms.
+  // The incarnation shut down in an orderly way at range.until_ms.
   bool is_last = false;
-  // Closed by another VM, because its writer seemed to be gone.
+  // Closed by another VM, because its writer appeared to be gone.
   bool is_sealed = false;
-  // The writer has found an earlier segment of its sealed, so that its time
-  // must be taken out of the gap that was noted then.
+  // The writer found that one of its earlier segments was sealed, so its time
+  // must be removed from the gap that was recorded then.
   bool is_after_seal = false;
   // The largest step of the writer's wall clock against its monotonic clock.
   std::int64_t clock_step_ms = 0;
--- a/src/burn/segment_reader.cc
+++ b/src/burn/segment_reader.cc
@@ -1,4 +1,4 @@
-// The lists of a report, read one after another.
+// Reads the lists for a report one after another.
 
 #include "src/burn/segment_reader.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-// About 10 ms of work for segments of ten minutes and eight classes.
+// Batch size; takes about 10 ms for segments of ten minutes and eight classes.
 constexpr std::size_t kAtOnce = 50;
 
 class Reader : public std::enable_shared_from_this<Reader> {
@@ -48,7 +48,8 @@
   }
 
  private:
-  // Decodes some entries from `first` on and leaves the rest to another task.
+  // Decodes a batch of entries starting at `first`, and posts a task for the
+  // rest.
   void AddSome(std::size_t first) {
     const std::size_t end = std::min(entries_.size(), first + kAtOnce);
     const auto begin = entries_.begin();
--- a/src/burn/segment_reader.h
+++ b/src/burn/segment_reader.h
@@ -19,16 +19,17 @@
 struct StoredCounts {
   std::map<std::string, Segment> segments;
   std::map<VmIncarnation, std::int64_t> gone_wall_ms;
-  // Keys of values that could not be decoded: what they count is missing.
+  // Keys of values that could not be decoded; their counts are missing.
   std::vector<std::string> damaged;
 };
 
 using ReadCountsCallback = std::function<void(base::Result<StoredCounts>)>;
 
-// Four calls, from the finest segments to the coarsest: what is rolled up and
-// erased meanwhile is then found in the coarser list, and what is found in both
-// is recognised by the sources. The values are decoded a few at a time in tasks
-// of `control`, so that a report over a large fleet holds up nothing else.
+// Makes four list calls, from the finest segments to the coarsest: segments
+// that are rolled up and erased meanwhile are then found in the coarser list,
+// and duplicates are recognised by the listed sources. The values are decoded
+// in small batches in tasks of `control`, so that a report over a large fleet
+// does not block other work.
 void ReadCounts(const store::Store& store,
                 const BurnSettings& settings,
                 const base::TaskRunner& control,
--- a/src/burn/sharded_counts.cc
+++ b/src/burn/sharded_counts.cc
@@ -1,4 +1,4 @@
-// One locked map per shard; a thread keeps the shard it was first given.
+// One map with a lock per shard; each thread always uses the same shard.
 
 #include "src/burn/sharded_counts.h"
 
--- a/src/burn/sharded_counts.h
+++ b/src/burn/sharded_counts.h
@@ -1,7 +1,7 @@
-// Where traffic threads count requests. Each thread adds to a shard of its own
-// as long as there are shards enough, so that threads hardly ever wait for each
-// other; the control thread takes the shards' counts away once a second and
-// adds them up.
+// Request counts of the traffic threads, split into shards. Each thread adds to
+// its own shard as long as there are enough shards, so that threads rarely
+// contend for a lock. The control thread periodically takes and sums the counts
+// of all shards.
 
 #ifndef MEDLARSPREAD_BURN_SHARDED_COUNTS_H_
 #define MEDLARSPREAD_BURN_SHARDED_COUNTS_H_
@@ -18,14 +18,14 @@
  public:
   static constexpr std::size_t kShards = 32;
 
-  // Holds one lock for one map update. Safe from any thread.
+  // Holds a lock for one map update. May be called from any thread.
   void Record(const RequestRecord& record);
 
-  // Takes all counts away. Each record is in exactly one Take().
+  // Returns and resets all counts. Each record is returned by exactly one call.
   Cells Take();
 
  private:
-  // On a cache line of its own, so that neighbours do not slow each other.
+  // Each shard has a cache line of its own to avoid false sharing.
   static constexpr std::size_t kCacheLine = 64;
   struct alignas(kCacheLine) Shard {
     std::mutex mutex;
--- a/src/burn/store_steps.cc
+++ b/src/burn/store_steps.cc
@@ -1,4 +1,4 @@
-// The calls of the steps.
+// Implements the store calls of the steps.
 
 #include "src/burn/store_steps.h"
 
@@ -30,10 +30,10 @@
   Next();
 }
 
-// A conflict is as good as a failure: another VM has done the work, or the
-// writer lives. The next pass reads what there is.
+// A conflict is handled like a failure: another VM has done the work, or the
+// writer is still running. The next pass reads the current state.
 void StoreSteps::DidFail(const base::Error& error) {
-  log_.DidFail(error, "burn counts are rolled up later");
+  log_.DidFail(error, "burn roll-up step failed; the next pass will retry");
   Next();
 }
 
@@ -113,7 +113,7 @@
   for (const std::string& key : damaged) {
     log_.Write({.level = base::LogLevel::kError,
                 .step = base::Step::kReport,
-                .message = "burn counts at " + key + " are damaged"});
+                .message = "cannot decode the burn counts at " + key});
   }
   return segments;
 }
--- a/src/burn/store_steps.h
+++ b/src/burn/store_steps.h
@@ -1,6 +1,6 @@
-// A queue of steps, most of which make one call to the store: one after
-// another, on the control sequence. A call that fails is logged and what was to
-// follow it is left out; the queue goes on with the next step.
+// A queue of steps that run one after another on the control sequence; most
+// make one call to the store. If a call fails, the failure is logged, the rest
+// of its step is skipped, and the queue goes on with the next step.
 
 #ifndef MEDLARSPREAD_BURN_STORE_STEPS_H_
 #define MEDLARSPREAD_BURN_STORE_STEPS_H_
@@ -18,33 +18,34 @@
 
 namespace medlarspread::burn {
 
-// Owned by a std::shared_ptr. `done` of Run() keeps alive what the steps refer
-// to.
+// Must be owned by a std::shared_ptr. The `done` callback of Run() must keep
+// alive what the steps refer to.
 class StoreSteps : public std::enable_shared_from_this<StoreSteps> {
  public:
   StoreSteps(store::Store store, base::Duration timeout, base::Log log);
 
-  // Adds a step at the end. Each step has to lead to one call of Next().
+  // Appends a step. Each step must lead to exactly one call of Next().
   void Push(std::function<void()> step);
   void Next();
-  // Runs the steps, then `done`. Must not be called while they run.
+  // Runs the steps, then `done`. Must not be called while steps are running.
   void Run(std::function<void()> done);
   bool is_running() const { return done_ != nullptr; }
 
-  // Each makes one call and passes the result on, or goes on with Next().
+  // Each makes one store call and passes the result to `then`; on failure it
+  // calls Next().
   void List(const std::string& prefix,
             std::function<void(const std::vector<store::Entry>&)> then);
-  // Version 0 and an empty segment if there is none.
+  // Passes version 0 and an empty segment if the key does not exist.
   void Read(const std::string& key, std::function<void(StoredSegment)> then);
   void Swap(const StoredSegment& stored,
             std::function<void(std::int64_t version)> then);
 
-  // Each makes one call, then goes on with Next().
+  // Makes one store call, then calls Next().
   void Erase(const std::string& key, std::int64_t version);
-  // Lists in any case; the error is passed on.
+  // Like List(), but passes errors to `then` as well.
   void TryList(const std::string& prefix, store::Store::ListCallback then);
 
-  // Those of the entries that can be decoded; the others are logged.
+  // Returns the entries that can be decoded; logs the others.
   std::vector<StoredSegment> Decode(
       const std::vector<store::Entry>& entries) const;
 
--- a/tests/burn/burn_controller_test.cc
+++ b/tests/burn/burn_controller_test.cc
@@ -1,5 +1,5 @@
-// The report of a small fleet against a known history, through the failures
-// that the report has to be truthful under.
+// Checks the report of a small fleet against a known history of requests, under
+// failures of VMs and of the store.
 
 #include "src/burn/burn_controller.h"
 
@@ -42,7 +42,8 @@
 
 class BurnControllerTest : public testing::Test {
  protected:
-  // One request a second on `vm`, every fifth late, every seventh thin.
+  // Sends one request per second to `vm`; every fifth is late, every seventh
+  // has low coverage.
   void RunTraffic(const std::string& vm, int seconds) {
     for (int second = 0; second < seconds; ++second) {
       fleet_.Record(vm, Answered("counter-lookup", second % 5 == 0 ? 95 : 30,
@@ -51,7 +52,7 @@
     }
   }
 
-  // How many keys of the store start and end so.
+  // Returns how many keys in the store have this prefix and suffix.
   int KeysMatching(const std::string& prefix, const std::string& suffix) {
     int count = 0;
     for (const auto& [key, entry] : fleet_.store().entries()) {
@@ -113,7 +114,7 @@
   EXPECT_GE(hour.unaccounted.requests_estimate,
             static_cast<std::int64_t>(lost.size()));
   EXPECT_GT(hour.unaccounted.vm_milliseconds, 0);
-  // It was seen to be gone within seconds, so the gap does not grow.
+  // The VM is marked as gone within seconds, which ends the gap.
   EXPECT_LE(hour.unaccounted.vm_milliseconds, 77'000);
   ASSERT_EQ(report.gaps.size(), 1U);
   EXPECT_EQ(report.gaps[0].vm, "entry-2");
@@ -137,7 +138,7 @@
   fleet_.StartVm("entry-2");
   for (int second = 0; second < 120; ++second) {
     RequestRecord record = Answered("counter-lookup", 60);
-    // The change is in force on one VM some seconds before the other.
+    // The new targets take effect on one VM some seconds before the other.
     const bool is_tightened = second >= (second % 2 == 0 ? 47 : 53);
     if (is_tightened) {
       record.targets_revision = 2;
@@ -192,7 +193,8 @@
   EXPECT_TRUE(report.is_partial);
   EXPECT_TRUE(report.others_read_wall_ms.has_value());
   ExpectExact(report, known);
-  // What entry-2 did since is overdue, and bounded from above.
+  // The counts of entry-2 since then are overdue; the estimate is an upper
+  // bound.
   EXPECT_GE(report.classes[0].windows[1].unaccounted.requests_estimate, 600);
 }
 
@@ -255,7 +257,7 @@
   fleet_.StartVm("entry-1");
   fleet_.StartVm("entry-2");
   RunTraffic("entry-2", 200);
-  // It counts some that it cannot write before it is frozen.
+  // It counts requests that it cannot write before it is frozen.
   fleet_.store().CutOff("entry-2", true);
   RunTraffic("entry-2", 70);
   fleet_.FreezeVm("entry-2");
@@ -300,7 +302,7 @@
     fleet_.Advance(3'520);
     ExpectExact(fleet_.ReportFrom("entry-2"), fleet_.recorded());
   }
-  // Of each VM the bucket in progress, and at most two not yet rolled up.
+  // Each VM has its current bucket and at most two not yet rolled up.
   EXPECT_LE(KeysMatching("burn/raw/", ""), 6);
   EXPECT_GE(KeysMatching("burn/day/", ""), 1);
 }
@@ -331,7 +333,7 @@
   ASSERT_GT(KeysMatching("burn/day/", ""), 0);
   ASSERT_EQ(KeysMatching("burn/hour/", "/domain-a/1"), 0);
   fleet_.store().CutOff("entry-2", false);
-  // One old bucket a minute is written late, then rolled up.
+  // One old bucket per minute is written late, then rolled up.
   fleet_.Advance(1'200);
   EXPECT_GT(KeysMatching("burn/hour/", "/domain-a/1"), 0);
   fleet_.Advance(6'000);
--- a/tests/burn/burn_fleet.cc
+++ b/tests/burn/burn_fleet.cc
@@ -1,5 +1,5 @@
-// The fleet moves all clocks in steps of one second. The oracle below judges
-// each request by itself and shares no code with the report.
+// The fleet advances all clocks in steps of one second. The oracle below
+// evaluates each request on its own and shares no code with the report.
 
 #include "tests/burn/burn_fleet.h"
 
@@ -104,7 +104,8 @@
 }
 
 void BurnFleet::Advance(std::int64_t seconds) {
-  // Several rounds, because a call to the store goes back and forth.
+  // A store call takes several rounds, because its tasks run on both the VM's
+  // and the store's scheduler.
   constexpr int kFewRounds = 12;
   constexpr int kManyRounds = 200;
   const auto run_ready = [this](int rounds) {
@@ -168,7 +169,7 @@
 }
 
 void BurnFleet::NoteWrite(const store::Entry& entry) {
-  // A seal is made by another VM and holds what was written before.
+  // Another VM writes a sealed segment, with counts that were written before.
   const bool is_seal = entry.value.find("\"sealed\":true") != std::string::npos;
   const auto raw = ParseRawKey(entry.key);
   if (raw && !is_seal) {
--- a/tests/burn/burn_fleet.h
+++ b/tests/burn/burn_fleet.h
@@ -1,6 +1,5 @@
-// Several VMs with their burn controllers over one fake store, and beside them
-// every request that was recorded, from which the oracle computes what the
-// report has to say.
+// Several VMs with their burn controllers and one shared fake store. Keeps
+// every recorded request, from which an oracle computes the expected report.
 
 #ifndef MEDLARSPREAD_TESTS_BURN_BURN_FLEET_H_
 #define MEDLARSPREAD_TESTS_BURN_BURN_FLEET_H_
@@ -37,16 +36,16 @@
   void StartVm(const std::string& name, std::int64_t clock_offset_ms = 0);
   // Starts another process with the identity that `name` has, as `alias`.
   void StartTwin(const std::string& name, const std::string& alias);
-  // The VM is gone at once, and the members learn of it.
+  // The VM crashes, and the membership is updated.
   void KillVm(const std::string& name);
-  // The VM stops as planned.
+  // The VM shuts down in an orderly way.
   void StopVm(const std::string& name);
-  // The VM does nothing, and the members take it for gone, until it wakes.
+  // The VM makes no progress and is missing from the membership until WakeVm().
   void FreezeVm(const std::string& name);
   void WakeVm(const std::string& name);
   bool IsRunning(const std::string& name) const;
 
-  // Records a request asked now by the VM's clock, less `age_ms`.
+  // Records a request that arrived `age_ms` ago by the VM's clock.
   void Record(const std::string& vm,
               RequestRecord record,
               std::int64_t age_ms = 0);
@@ -60,8 +59,8 @@
   BurnController& controller(const std::string& vm);
   const blackboard::Blackboard& board(const std::string& vm) const;
 
-  // All requests recorded, and those of them that were neither written to the
-  // store nor are in the memory of a running VM.
+  // All recorded requests. Lost() returns those that were neither written to
+  // the store nor are in the memory of a running VM, Kept() the others.
   const std::vector<RecordedRequest>& recorded() const { return recorded_; }
   std::vector<RecordedRequest> Lost() const;
   std::vector<RecordedRequest> Kept() const;
@@ -70,7 +69,7 @@
   struct Vm {
     VmIncarnation id;
     std::shared_ptr<base::ManualTime> time;
-    // Each VM has a queue of its own, so that it can be frozen.
+    // Each VM has its own task queue, so that it can be frozen.
     std::shared_ptr<base::ManualScheduler> scheduler;
     std::unique_ptr<base::Random> random;
     std::unique_ptr<blackboard::Blackboard> board;
@@ -97,7 +96,7 @@
   std::map<std::pair<VmIncarnation, std::int64_t>, std::int64_t> written_;
 };
 
-// Computes from raw records what a window of the report must say.
+// What a window of the report must contain, computed from the records.
 struct ExpectedWindow {
   Counts counts;
   std::int64_t latency_allowed_millionths = 0;
@@ -109,7 +108,7 @@
                             std::int64_t start_wall_ms,
                             std::int64_t end_wall_ms);
 
-// Fails the test unless each window of each class is what `requests` give.
+// Fails the test unless each window of each class matches `requests`.
 void ExpectExact(const BurnReport& report,
                  const std::vector<RecordedRequest>& requests);
 
--- a/tests/burn/burn_property_test.cc
+++ b/tests/burn/burn_property_test.cc
@@ -1,7 +1,7 @@
-// Random histories of a fleet: traffic, changed targets, outages, lost replies
-// and writes, VMs that are killed, stopped, restarted, frozen, cut off. However
-// they come together, the report counts exactly what was written or is held by
-// a running VM, and says so where something is missing.
+// Runs random sequences of traffic, changed targets, store outages, lost
+// replies and writes, and VMs that are killed, stopped, restarted, frozen or
+// cut off. In every case the report must count exactly the requests that were
+// written or that a running VM holds, and must show where counts are missing.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr const char* kVms[] = {"entry-1", "entry-2", "entry-3"};
-// Never killed: the reports come from it.
+// Never killed, because the reports are requested from it.
 constexpr const char* kObserver = "entry-0";
 
 class RandomHistory {
@@ -64,7 +64,7 @@
     }
   }
 
-  // Everything works again, for long enough to write what is held back.
+  // Ends all faults, then waits until the delayed counts are written.
   void Heal() {
     fleet_.store().set_available(true);
     fleet_.store().CutOffWithNextWrite("");
@@ -148,7 +148,7 @@
   ExpectExact(report, fleet.Kept());
   RC_ASSERT(!testing::Test::HasFailure());
   RC_ASSERT(!report.is_partial);
-  // A loss is never silent.
+  // Lost requests must show up as unaccounted.
   if (!fleet.Lost().empty()) {
     RC_ASSERT(!report.gaps.empty() || !report.notes.empty());
   }
--- a/tests/burn/fake_store.cc
+++ b/tests/burn/fake_store.cc
@@ -1,5 +1,4 @@
-// The calls of the fake store. Each answers by a posted task, as the real one
-// does.
+// Calls of the fake store. Like the real store, it replies in a posted task.
 
 #include "tests/burn/fake_store.h"
 
@@ -84,7 +83,7 @@
 
 store::Store FakeStore::PortFor(const std::string& vm,
                                 base::TaskRunner runner) {
-  // The call is made now, its answer comes back to the VM later.
+  // Makes the call now and posts the reply to the VM.
   const auto answer = [this, vm, runner](std::int64_t& calls, auto call,
                                          auto callback) {
     runner_.Post([this, vm, runner, &calls, call, callback] {
--- a/tests/burn/fake_store.h
+++ b/tests/burn/fake_store.h
@@ -1,5 +1,6 @@
-// The platform's key-value service in memory, with the failures that the burn
-// report has to live with: outages, lost replies, refused writes.
+// In-memory version of the platform's key-value service that simulates the
+// failures which the burn report must handle: outages, lost replies and
+// rejected writes.
 
 #ifndef MEDLARSPREAD_TESTS_BURN_FAKE_STORE_H_
 #define MEDLARSPREAD_TESTS_BURN_FAKE_STORE_H_
@@ -19,21 +20,20 @@
  public:
   explicit FakeStore(base::TaskRunner runner) : runner_(std::move(runner)) {}
 
-  // The store as the VM called `vm` reaches it, which is called back on
-  // `runner`.
+  // Returns the store as seen by the VM `vm`; callbacks run on `runner`.
   store::Store PortFor(const std::string& vm, base::TaskRunner runner);
 
   void set_available(bool is_available) { is_available_ = is_available; }
   void CutOff(const std::string& vm, bool is_cut) { is_cut_[vm] = is_cut; }
   // The next writes take effect, but their replies are lost.
   void LoseReplies(int count) { replies_to_lose_ = count; }
-  // The next write of `vm` takes effect, but its reply is lost and the VM
-  // reaches the store no more.
+  // The next write of `vm` takes effect, but its reply is lost and the VM is
+  // cut off from the store.
   void CutOffWithNextWrite(const std::string& vm) { cut_with_write_ = vm; }
-  // Erasing keys that start so fails; nothing fails if empty.
+  // Makes erasing keys with this prefix fail; an empty prefix ends the failure.
   void FailErasesOf(const std::string& prefix) { unerasable_ = prefix; }
-  // The next writes are lost before they take effect; their outcome is not
-  // known either.
+  // The next writes are lost before they take effect; the writer gets an
+  // unknown outcome here too.
   void LoseWrites(int count) { writes_to_lose_ = count; }
 
   // Runs for each write that takes effect.
--- a/tests/burn/gap_finder_test.cc
+++ b/tests/burn/gap_finder_test.cc
@@ -1,5 +1,5 @@
-// Intervals of lost time: where they end, what they may hide, and what is cut
-// out of them.
+// Tests where gaps end, how many requests are estimated for them, and how
+// covered time is removed from them.
 
 #include "src/burn/gap_finder.h"
 
@@ -41,7 +41,7 @@
   history.cells[{0, "desk", {}}].asked = 30;
   history.cells[{1, "desk", {1, 0, 0, 0, 0}}].asked = 40;
   history.cells[{1, "desk", {2, 0, 0, 0, 0}}].asked = 20;
-  // Half a minute is covered of the last one: that is 50 a minute.
+  // The last minute is covered by half, so its rate is 50 per minute.
   history.cells[{2, "desk", {}}].asked = 25;
   const Gap gap =
       GapAfter(kFirst, histories, 180'000, base::Milliseconds(10'000));
--- a/tests/burn/own_counts_test.cc
+++ b/tests/burn/own_counts_test.cc
@@ -1,5 +1,5 @@
-// The order in which buckets are written and closed, and what happens to counts
-// that cannot be kept or settled.
+// Tests the order in which buckets are written and closed, and how counts are
+// handled that cannot be kept or whose write has an unknown outcome.
 
 #include "src/burn/own_counts.h"
 
@@ -68,8 +68,8 @@
   EXPECT_EQ(first->key, "burn/raw/a/entry-1/1/7/0");
   EXPECT_FALSE(first->segment.is_closed);
   counts_.DidDoubt(first->key);
-  // Whether the current bucket is in the store is not known: were the older one
-  // closed now, the death of this VM could go unnoticed.
+  // It is not known whether the current bucket is in the store. If the older
+  // one were closed now, a crash of this VM could go unnoticed.
   const auto second = counts_.NextWrite(false);
   ASSERT_TRUE(second.has_value());
   EXPECT_EQ(second->key, "burn/raw/a/entry-1/1/6/0");
@@ -122,8 +122,8 @@
   for (int bucket = 0; bucket < 5; ++bucket) {
     CountThenPassBucket(1);
   }
-  // One of the five came to the bucket that was written, and two buckets have
-  // gone: only what was added since is lost.
+  // One of the five requests is in the bucket that was written, and two buckets
+  // were dropped: only the requests added since then are lost.
   EXPECT_EQ(AskedInGaps(), 2);
 }
 
@@ -154,7 +154,7 @@
   while (const auto write = counts_.NextWrite(false)) {
     counts_.DidWrite(write->key, ++version);
   }
-  // The bucket is closed and gone; its late count gets another key.
+  // The bucket is closed and dropped; its late count gets another key.
   Cells late;
   late[{MinuteOf(3'600'000), "desk", {}}].asked = 3;
   counts_.Collect(late);
--- a/tests/burn/report_format_test.cc
+++ b/tests/burn/report_format_test.cc
@@ -1,4 +1,5 @@
-// The three formats say the same, and the page stands by itself.
+// Tests that the three formats report the same data, and that the HTML page is
+// self-contained.
 
 #include "src/burn/report_format.h"
 
@@ -34,8 +35,8 @@
   return counts;
 }
 
-// 100,000 good requests a while ago, 400 bad and 600 good ones in this hour,
-// and a VM that was lost half an hour ago.
+// 100,000 good requests earlier, 400 bad and 600 good ones in this hour, and a
+// VM that was lost half an hour ago.
 ReportInput MakeInput() {
   ReportInput input;
   input.reporting_vm = "entry-1";
--- a/tests/burn/segment_test.cc
+++ b/tests/burn/segment_test.cc
@@ -1,4 +1,5 @@
-// What is stored is read back as it was, and damage is noticed.
+// Tests that segments and keys survive encoding and decoding, and that damaged
+// values are rejected.
 
 #include "src/burn/segment.h"
 
@@ -14,8 +15,8 @@
   return *rc::gen::inRange<std::int64_t>(0, std::int64_t{1} << 52);
 }
 
-// Names of VMs are plain ASCII by the settings; quotes must survive all the
-// same.
+// The settings restrict VM names to plain ASCII; quotes must survive encoding
+// nevertheless.
 std::string AnyName() {
   return *rc::gen::container<std::string>(
       rc::gen::elementOf(std::string("ab1-._\"\\/ ")));
