--- a/bench/burn/burn_bench.cc
+++ b/bench/burn/burn_bench.cc
@@ -197,8 +197,8 @@
   Segment hour;
   for (std::int64_t bucket = 0; bucket < kBuckets; ++bucket) {
     for (int vm = 0; vm < vms; ++vm) {
-      Fold(MakeRaw(vm * 16, first_minute / kMinutesPerBucket + bucket), false,
-           hour);
+      MergeSegment(MakeRaw(vm * 16, first_minute / kMinutesPerBucket + bucket),
+                   false, hour);
     }
   }
   return hour;
@@ -229,7 +229,7 @@
       stored.segment.is_closed = true;
       stored.segment.cells =
           MakeCells(kStartMinute + hour * kMinutesPerHour, kMinutesPerHour);
-      Fold(stored, true, day);
+      MergeSegment(stored, true, day);
     }
   }
   std::string text;
--- a/bench/burn/store_calls_bench.cc
+++ b/bench/burn/store_calls_bench.cc
@@ -41,7 +41,8 @@
       settings.flush_interval = flush_interval;
       controllers_.push_back(std::make_shared<BurnController>(
           settings, base::Clock(time_), random_, base::TaskRunner(scheduler_),
-          store_.PortFor(name, base::TaskRunner(scheduler_)), *boards_.back()));
+          store_.StoreFor(name, base::TaskRunner(scheduler_)),
+          *boards_.back()));
       controllers_.back()->Start();
     }
   }
--- a/src/burn/burn_chart.cc
+++ b/src/burn/burn_chart.cc
@@ -22,13 +22,13 @@
 constexpr double kBottom = 30;
 constexpr double kPlotWidth = kWidth - kLeft - kRight;
 constexpr double kPlotHeight = kHeight - kTop - kBottom;
-// The scale reaches at least up to kLeastTop and at most up to the last tick.
-constexpr double kLeastTop = 2;
+// The scale reaches at least up to kMinTop and at most up to the last tick.
+constexpr double kMinTop = 2;
 constexpr double kTicks[] = {0, 1, 2, 5, 10, 20, 50, 100};
-constexpr double kGreatestTop = 100;
+constexpr double kMaxTop = 100;
 
 struct Scale {
-  double top = kLeastTop;
+  double top = kMinTop;
   std::size_t points = 0;
 
   double X(double index) const {
@@ -57,11 +57,11 @@
   if (point.counts.asked == 0) {
     return std::nullopt;
   }
-  return pick(point).value_or(kGreatestTop);
+  return pick(point).value_or(kMaxTop);
 }
 
 Scale MakeScale(const std::vector<HistoryPoint>& history) {
-  double most = kLeastTop;
+  double most = kMinTop;
   for (const HistoryPoint& point : history) {
     most = std::max({most, BurnToDraw(point, LatencyBurn).value_or(0),
                      BurnToDraw(point, CoverageBurn).value_or(0)});
@@ -69,7 +69,7 @@
   const auto* const tick =
       std::find_if(std::begin(kTicks), std::end(kTicks),
                    [most](double value) { return value >= most; });
-  return {tick == std::end(kTicks) ? kGreatestTop : *tick, history.size()};
+  return {tick == std::end(kTicks) ? kMaxTop : *tick, history.size()};
 }
 
 std::string DrawLine(const std::vector<HistoryPoint>& history,
--- a/src/burn/burn_controller.cc
+++ b/src/burn/burn_controller.cc
@@ -8,7 +8,7 @@
 
 #include "src/burn/burn_view.h"
 #include "src/burn/count_writer.h"
-#include "src/burn/gone_watch.h"
+#include "src/burn/lost_member_monitor.h"
 #include "src/burn/own_counts.h"
 #include "src/burn/report_builder.h"
 #include "src/burn/roll_up_runner.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr int kStopTries = 4;
+constexpr int kMaxStopAttempts = 4;
 constexpr base::Duration kStopRetryDelay = base::Milliseconds(500);
 // A member's counts are overdue after this many flush intervals without a
 // write.
@@ -60,8 +60,11 @@
         log(std::move(log_in)),
         own(settings, clock, DrawNonce(random_in)),
         writer(std::make_shared<CountWriter>(settings, store, own, log)),
-        gone_watch(
-            std::make_shared<GoneWatch>(settings, clock, store, board, log)),
+        lost_member_monitor(std::make_shared<LostMemberMonitor>(settings,
+                                                                clock,
+                                                                store,
+                                                                board,
+                                                                log)),
         roll_up(settings, clock, store, board, log) {}
 
   const BurnSettings settings;
@@ -78,7 +81,7 @@
   Cells recent;
   OwnCounts own;
   const std::shared_ptr<CountWriter> writer;
-  const std::shared_ptr<GoneWatch> gone_watch;
+  const std::shared_ptr<LostMemberMonitor> lost_member_monitor;
   RollUpRunner roll_up;
 
   // Result of the last successful read; used for reports during a store outage.
@@ -86,7 +89,7 @@
   std::optional<std::int64_t> last_read_wall_ms;
 
   bool is_stopping = false;
-  int stop_tries = 0;
+  int stop_attempts = 0;
   std::function<void()> stopped;
 };
 
@@ -127,8 +130,8 @@
     return;
   }
   TakeCounts();
-  state.gone_watch->Look();
-  state.gone_watch->WriteMarks();
+  state.lost_member_monitor->CheckMembers();
+  state.lost_member_monitor->WriteMarks();
   After(state.settings.collect_interval, &BurnController::Collect);
 }
 
@@ -196,10 +199,10 @@
 void BurnController::FlushLast() {
   State& state = *state_;
   TakeCounts();
-  ++state.stop_tries;
+  ++state.stop_attempts;
   state.writer->Flush(true, [self = shared_from_this()] {
     State& state = *self->state_;
-    if (state.own.is_finished() || state.stop_tries >= kStopTries) {
+    if (state.own.is_finished() || state.stop_attempts >= kMaxStopAttempts) {
       if (!state.own.is_finished()) {
         state.log.Write({.level = base::LogLevel::kError,
                          .step = base::Step::kStop,
@@ -238,7 +241,7 @@
   input.class_name = query.class_name;
   input.pending_grace = kGraceIntervals * state.settings.flush_interval;
   input.longest_request = state.settings.longest_request;
-  input.members = MembersOf(*state.board.membership.Read());
+  input.members = CurrentMembers(*state.board.membership.Read());
   if (read.is_ok()) {
     state.last_read = std::move(read.value());
     state.last_read_wall_ms = input.now_wall_ms;
--- a/src/burn/burn_view.cc
+++ b/src/burn/burn_view.cc
@@ -6,23 +6,23 @@
 #include <map>
 #include <string>
 
-#include "src/burn/judgement.h"
+#include "src/burn/target_evaluation.h"
 
 namespace medlarspread::burn {
 
 namespace {
 
-std::map<std::string, JudgedSum> SumSince(const Cells& cells,
-                                          std::int64_t first_minute) {
-  std::map<std::string, JudgedSum> sums;
+std::map<std::string, SumWithAllowance> SumSince(const Cells& cells,
+                                                 std::int64_t first_minute) {
+  std::map<std::string, SumWithAllowance> sums;
   for (auto cell = cells.lower_bound(CellKey{first_minute, "", {}});
        cell != cells.end(); ++cell) {
-    sums[cell->first.class_name].Add(cell->first.judged_by, cell->second);
+    sums[cell->first.class_name].Add(cell->first.applied_targets, cell->second);
   }
   return sums;
 }
 
-double WorseBurn(const JudgedSum& sum) {
+double WorseBurn(const SumWithAllowance& sum) {
   return std::max(sum.latency_burn().value_or(kBurnWithoutBudget),
                   sum.coverage_burn().value_or(kBurnWithoutBudget));
 }
--- a/src/burn/count_writer.cc
+++ b/src/burn/count_writer.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-bool IsDoubtful(const base::Error& error) {
+bool IsOutcomeInDoubt(const base::Error& error) {
   return error.code == base::ErrorCode::kConflict ||
          error.code == base::ErrorCode::kUnknownOutcome;
 }
@@ -62,7 +62,7 @@
 }
 
 void CountWriter::Step() {
-  if (auto key = counts_.NextDoubt()) {
+  if (auto key = counts_.NextKeyInDoubt()) {
     ReadBack(*key);
     return;
   }
@@ -95,8 +95,8 @@
     Step();
     return;
   }
-  if (IsDoubtful(result.error())) {
-    counts_.DidDoubt(key);
+  if (IsOutcomeInDoubt(result.error())) {
+    counts_.MarkInDoubt(key);
     Step();
     return;
   }
--- a/src/burn/counts.cc
+++ b/src/burn/counts.cc
@@ -45,10 +45,10 @@
 
 CellKey KeyOf(const RequestRecord& record) {
   return {MinuteOf(record.asked_wall_ms), record.class_name,
-          JudgedBy{record.targets_revision, record.latency_target.count(),
-                   std::llround(record.coverage_target * kMillion),
-                   AllowedPpm(record.latency_percentile),
-                   AllowedPpm(record.coverage_percentile)}};
+          AppliedTargets{record.targets_revision, record.latency_target.count(),
+                         std::llround(record.coverage_target * kMillion),
+                         AllowedPpm(record.latency_percentile),
+                         AllowedPpm(record.coverage_percentile)}};
 }
 
 Counts CountOf(const RequestRecord& record) {
--- a/src/burn/counts.h
+++ b/src/burn/counts.h
@@ -41,7 +41,7 @@
 
 // The targets that a request is evaluated against. Integers, so that cells of
 // different VMs compare and add up exactly.
-struct JudgedBy {
+struct AppliedTargets {
   std::int64_t revision = 0;
   std::int64_t latency_us = 0;
   std::int64_t coverage_ppm = 0;
@@ -50,7 +50,8 @@
   std::int64_t coverage_allowed_ppm = 0;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): misfires on a defaulted <=>.
-  friend auto operator<=>(const JudgedBy&, const JudgedBy&) = default;
+  friend auto operator<=>(const AppliedTargets&,
+                          const AppliedTargets&) = default;
 };
 
 struct CellKey {
@@ -58,7 +59,7 @@
   // In cells rolled up to hours, the first minute of the hour.
   std::int64_t minute = 0;
   std::string class_name;
-  JudgedBy judged_by;
+  AppliedTargets applied_targets;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): misfires on a defaulted <=>.
   friend auto operator<=>(const CellKey&, const CellKey&) = default;
--- a/src/burn/day_roll_up.cc
+++ b/src/burn/day_roll_up.cc
@@ -84,20 +84,21 @@
   }
   for (const std::string& failure_domain : failure_domains) {
     steps_.Push([this, pass, failure_domain] {
-      KeepThoseWithoutSources(pass, failure_domain);
+      SkipHoursWithSources(pass, failure_domain);
     });
   }
   steps_.Push([this, pass] {
-    steps_.Read(
-        DayKey(pass->hour / kHoursPerDay),
-        [this, pass](StoredSegment day) { FoldInto(std::move(day), pass); });
+    steps_.Read(DayKey(pass->hour / kHoursPerDay),
+                [this, pass](StoredSegment day) {
+                  MergeIntoDay(std::move(day), pass);
+                });
   });
   steps_.Next();
 }
 
 // If the list cannot be read, all segments of the failure domain are skipped.
-void DayRollUp::KeepThoseWithoutSources(std::shared_ptr<HourPass> pass,
-                                        const std::string& failure_domain) {
+void DayRollUp::SkipHoursWithSources(std::shared_ptr<HourPass> pass,
+                                     const std::string& failure_domain) {
   steps_.TryList(
       kRawPrefix + failure_domain + "/",
       [this, pass,
@@ -109,11 +110,12 @@
       });
 }
 
-void DayRollUp::FoldInto(StoredSegment day, std::shared_ptr<HourPass> pass) {
+void DayRollUp::MergeIntoDay(StoredSegment day,
+                             std::shared_ptr<HourPass> pass) {
   bool has_new = false;
   for (const StoredSegment& hour : pass->hours) {
     if (!Contains(day.segment, hour.key)) {
-      Fold(hour, true, day.segment);
+      MergeSegment(hour, true, day.segment);
       has_new = true;
     }
   }
--- a/src/burn/day_roll_up.h
+++ b/src/burn/day_roll_up.h
@@ -32,9 +32,9 @@
 
   void CloseHours(std::shared_ptr<HourPass> pass);
   void CheckSources(std::shared_ptr<HourPass> pass);
-  void KeepThoseWithoutSources(std::shared_ptr<HourPass> pass,
-                               const std::string& failure_domain);
-  void FoldInto(StoredSegment day, std::shared_ptr<HourPass> pass);
+  void SkipHoursWithSources(std::shared_ptr<HourPass> pass,
+                            const std::string& failure_domain);
+  void MergeIntoDay(StoredSegment day, std::shared_ptr<HourPass> pass);
   void EraseHours(const HourPass& pass);
 
   StoreSteps& steps_;
--- a/src/burn/domain_roll_up.cc
+++ b/src/burn/domain_roll_up.cc
@@ -21,10 +21,10 @@
 constexpr std::int64_t kHoursPerDay = kMinutesPerDay / kMinutesPerHour;
 constexpr std::int64_t kMarkKeptMs = kMinutesPerDay * kMillisecondsPerMinute;
 // Hours more recent than this have not been rolled up into their day yet.
-constexpr std::int64_t kSurelyNotInDayHours = 2;
+constexpr std::int64_t kHoursNeverInDay = 2;
 // Size limit of a roll-up, well below the store's limit for values. What
 // exceeds it goes to the next generation.
-constexpr std::size_t kLargestRollUp = 500'000;
+constexpr std::size_t kMaxRollUpBytes = 500'000;
 
 std::int64_t NextGeneration(const Segment& day,
                             const std::vector<StoredSegment>& hours,
@@ -68,7 +68,7 @@
 void DomainRollUp::Start(const std::string& failure_domain) {
   auto pass = std::make_shared<DomainPass>();
   pass->failure_domain = failure_domain;
-  pass->input.members = MembersOf(*board_.membership.Read());
+  pass->input.members = CurrentMembers(*board_.membership.Read());
   pass->input.now_wall_ms = clock_.WallMilliseconds();
   steps_.List(kGonePrefix + failure_domain + "/",
               [this, pass](const std::vector<store::Entry>& marks) {
@@ -97,7 +97,7 @@
 }
 
 void DomainRollUp::DidListRaws(std::shared_ptr<DomainPass> pass) {
-  for (StoredSegment& sealed : SealGone(pass->input, settings_)) {
+  for (StoredSegment& sealed : SealGoneWriters(pass->input, settings_)) {
     steps_.Push([this, sealed = std::move(sealed)] {
       steps_.Swap(sealed, [this](std::int64_t) { steps_.Next(); });
     });
@@ -150,14 +150,14 @@
     // missing from the list is then already in the day.
     const std::int64_t now_hour =
         MinuteOf(clock_.WallMilliseconds()) / kMinutesPerHour;
-    if (now_hour - pass->hour < kSurelyNotInDayHours) {
-      FoldIntoHour(pass);
+    if (now_hour - pass->hour < kHoursNeverInDay) {
+      MergeIntoHour(pass);
       return;
     }
     steps_.Read(DayKey(pass->hour / kHoursPerDay),
                 [this, pass](StoredSegment day) {
                   pass->day = std::move(day);
-                  FoldIntoHour(pass);
+                  MergeIntoHour(pass);
                 });
   });
 }
@@ -166,7 +166,7 @@
 StoredSegment DomainRollUp::TargetFor(const HourPass& pass) const {
   for (const StoredSegment& hour : pass.hours) {
     if (!hour.segment.is_closed &&
-        EncodeSegment(hour.segment).size() < kLargestRollUp) {
+        EncodeSegment(hour.segment).size() < kMaxRollUpBytes) {
       return hour;
     }
   }
@@ -179,12 +179,12 @@
   return target;
 }
 
-void DomainRollUp::FoldIntoHour(std::shared_ptr<HourPass> pass) {
+void DomainRollUp::MergeIntoHour(std::shared_ptr<HourPass> pass) {
   StoredSegment target = TargetFor(*pass);
   bool has_new = false;
   for (const StoredSegment& raw : pass->raws) {
     if (!ContainsAny(pass->hours, raw.key)) {
-      Fold(raw, false, target.segment);
+      MergeSegment(raw, false, target.segment);
       has_new = true;
     }
   }
--- a/src/burn/domain_roll_up.h
+++ b/src/burn/domain_roll_up.h
@@ -51,7 +51,7 @@
   void EraseOldMarks(const DomainPass& pass,
                      const std::set<VmIncarnation>& left);
   void StartHour(std::shared_ptr<HourPass> pass);
-  void FoldIntoHour(std::shared_ptr<HourPass> pass);
+  void MergeIntoHour(std::shared_ptr<HourPass> pass);
   void EraseRaws(const HourPass& pass);
   StoredSegment TargetFor(const HourPass& pass) const;
 
--- a/src/burn/gap_finder.cc
+++ b/src/burn/gap_finder.cc
@@ -61,7 +61,7 @@
 }
 
 // Returns what remains of `gap` without `covered`: zero, one or two gaps.
-std::vector<Gap> CutOut(const Gap& gap, const WallRange& covered) {
+std::vector<Gap> SubtractRange(const Gap& gap, const WallRange& covered) {
   std::vector<Gap> pieces;
   const WallRange before{
       gap.range.from_ms,
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-Histories HistoriesOf(const std::map<std::string, Segment>& segments) {
+Histories BuildHistories(const std::map<std::string, Segment>& segments) {
   Histories histories;
   for (const auto& [id, segment] : segments) {
     if (segment.writer.vm.empty()) {
@@ -109,10 +109,11 @@
   return histories;
 }
 
-std::int64_t GoneBy(const VmIncarnation& of,
-                    const Histories& histories,
-                    const std::map<VmIncarnation, std::int64_t>& gone_wall_ms,
-                    std::int64_t now_wall_ms) {
+std::int64_t LatestEndOf(
+    const VmIncarnation& of,
+    const Histories& histories,
+    const std::map<VmIncarnation, std::int64_t>& gone_wall_ms,
+    std::int64_t now_wall_ms) {
   std::int64_t gone_by = now_wall_ms;
   const std::int64_t last_known = histories.at(of).range.until_ms;
   // A mark older than the last counts was a false positive: the VM was only
@@ -157,7 +158,7 @@
         next.push_back(gap);
         continue;
       }
-      const std::vector<Gap> pieces = CutOut(gap, cover.range);
+      const std::vector<Gap> pieces = SubtractRange(gap, cover.range);
       next.insert(next.end(), pieces.begin(), pieces.end());
     }
     left = std::move(next);
--- a/src/burn/gap_finder.h
+++ b/src/burn/gap_finder.h
@@ -26,15 +26,16 @@
 using Histories = std::map<VmIncarnation, IncarnationHistory>;
 
 // The histories of all writers of `segments`.
-Histories HistoriesOf(const std::map<std::string, Segment>& segments);
+Histories BuildHistories(const std::map<std::string, Segment>& segments);
 
 // Returns the latest time at which an incarnation that stopped without notice
 // may have run: when it was marked as gone, when the next incarnation of its VM
 // started, or now.
-std::int64_t GoneBy(const VmIncarnation& of,
-                    const Histories& histories,
-                    const std::map<VmIncarnation, std::int64_t>& gone_wall_ms,
-                    std::int64_t now_wall_ms);
+std::int64_t LatestEndOf(
+    const VmIncarnation& of,
+    const Histories& histories,
+    const std::map<VmIncarnation, std::int64_t>& gone_wall_ms,
+    std::int64_t now_wall_ms);
 
 // Returns the gap after the last counts of an incarnation. The number of
 // requests is estimated from its busiest minute, or from the busiest minute of
--- a/src/burn/gone_watch.cc
+++ b/src/burn/lost_member_monitor.cc
@@ -1,6 +1,6 @@
 // Compares two membership views and writes marks for the members that are gone.
 
-#include "src/burn/gone_watch.h"
+#include "src/burn/lost_member_monitor.h"
 
 #include <utility>
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-bool IsThere(const blackboard::MembershipView& view,
-             const blackboard::Member& member) {
+bool IsPresent(const blackboard::MembershipView& view,
+               const blackboard::Member& member) {
   const auto found = view.members.find(member.name);
   return found != view.members.end() &&
          found->second.incarnation == member.incarnation &&
@@ -20,11 +20,11 @@
 
 }  // namespace
 
-GoneWatch::GoneWatch(BurnSettings settings,
-                     base::Clock clock,
-                     store::Store store,
-                     const blackboard::Blackboard& board,
-                     base::Log log)
+LostMemberMonitor::LostMemberMonitor(BurnSettings settings,
+                                     base::Clock clock,
+                                     store::Store store,
+                                     const blackboard::Blackboard& board,
+                                     base::Log log)
     : settings_(std::move(settings)),
       clock_(std::move(clock)),
       store_(std::move(store)),
@@ -32,15 +32,15 @@
       log_(std::move(log)),
       last_view_(board_.membership.Read()) {}
 
-void GoneWatch::Look() {
+void LostMemberMonitor::CheckMembers() {
   const auto view = board_.membership.Read();
   if (view == last_view_) {
     return;
   }
   for (const auto& [name, member] : last_view_->members) {
     const bool is_lost =
-        IsThere(*last_view_, member) && !IsThere(*view, member);
-    if (is_lost && IsHolder(*view, "burn/gone/" + name)) {
+        IsPresent(*last_view_, member) && !IsPresent(*view, member);
+    if (is_lost && IsResponsible(*view, "burn/gone/" + name)) {
       const GoneKey key{member.failure_domain, {name, member.incarnation}};
       unwritten_.emplace(key.ToString(), EncodeMark(clock_.WallMilliseconds()));
     }
@@ -48,7 +48,7 @@
   last_view_ = view;
 }
 
-void GoneWatch::WriteMarks() {
+void LostMemberMonitor::WriteMarks() {
   if (is_writing_ || unwritten_.empty()) {
     return;
   }
@@ -56,7 +56,8 @@
   Write(std::string(unwritten_.begin()->first), store::kAbsent);
 }
 
-void GoneWatch::Write(const std::string& key, std::int64_t expected_version) {
+void LostMemberMonitor::Write(const std::string& key,
+                              std::int64_t expected_version) {
   store_.compare_and_swap(key, unwritten_.at(key), expected_version,
                           settings_.store_timeout,
                           [self = shared_from_this(),
@@ -65,8 +66,8 @@
                           });
 }
 
-void GoneWatch::DidWriteMark(const std::string& key,
-                             const base::Result<std::int64_t>& result) {
+void LostMemberMonitor::DidWriteMark(const std::string& key,
+                                     const base::Result<std::int64_t>& result) {
   if (result.is_ok()) {
     is_writing_ = false;
     unwritten_.erase(key);
@@ -87,7 +88,7 @@
 // The mark exists already: it was written for the same loss by another VM, or
 // by a write of this VM whose reply was lost, or for an earlier time when the
 // VM was only unreachable. The later time is kept.
-void GoneWatch::ReadOldMark(const std::string& key) {
+void LostMemberMonitor::ReadOldMark(const std::string& key) {
   store_.read(key, settings_.store_timeout,
               [self = shared_from_this(),
                key](const base::Result<std::optional<store::Entry>>& result) {
--- a/src/burn/gone_watch.h
+++ b/src/burn/lost_member_monitor.h
@@ -2,8 +2,8 @@
 // The mark limits the time for which the member may have run without writing
 // its counts.
 
-#ifndef MEDLARSPREAD_BURN_GONE_WATCH_H_
-#define MEDLARSPREAD_BURN_GONE_WATCH_H_
+#ifndef MEDLARSPREAD_BURN_LOST_MEMBER_MONITOR_H_
+#define MEDLARSPREAD_BURN_LOST_MEMBER_MONITOR_H_
 
 #include <cstdint>
 #include <map>
@@ -19,18 +19,19 @@
 namespace medlarspread::burn {
 
 // Runs on the control sequence. Must be owned by a std::shared_ptr.
-class GoneWatch : public std::enable_shared_from_this<GoneWatch> {
+class LostMemberMonitor
+    : public std::enable_shared_from_this<LostMemberMonitor> {
  public:
-  GoneWatch(BurnSettings settings,
-            base::Clock clock,
-            store::Store store,
-            const blackboard::Blackboard& board,
-            base::Log log);
+  LostMemberMonitor(BurnSettings settings,
+                    base::Clock clock,
+                    store::Store store,
+                    const blackboard::Blackboard& board,
+                    base::Log log);
 
   // Compares the members with those of the last call. One VM, chosen from the
   // member list by rendezvous hashing, writes the mark. Marks that the store
   // did not accept are kept and retried by the next call of WriteMarks().
-  void Look();
+  void CheckMembers();
   void WriteMarks();
 
   std::size_t unwritten_count() const { return unwritten_.size(); }
@@ -54,4 +55,4 @@
 
 }  // namespace medlarspread::burn
 
-#endif  // MEDLARSPREAD_BURN_GONE_WATCH_H_
+#endif  // MEDLARSPREAD_BURN_LOST_MEMBER_MONITOR_H_
--- a/src/burn/own_counts.cc
+++ b/src/burn/own_counts.cc
@@ -147,9 +147,9 @@
     Cells lost = part.cells;
     Subtract(part.acknowledged.cells, lost);
     const bool is_stored = part.version != store::kAbsent;
-    GiveUp(lost,
-           {is_stored ? part.acknowledged.range.until_ms : part.range.from_ms,
-            part.range.until_ms});
+    RecordLoss(lost, {is_stored ? part.acknowledged.range.until_ms
+                                : part.range.from_ms,
+                      part.range.until_ms});
     for (const Gap& gap : part.gaps) {
       if (!Contains(part.acknowledged.gaps, gap)) {
         AddGap(gap, PartFor(CurrentBucket()).gaps);
@@ -158,7 +158,7 @@
   }
 }
 
-void OwnCounts::GiveUp(const Cells& lost, WallRange range) {
+void OwnCounts::RecordLoss(const Cells& lost, WallRange range) {
   // NOTE: a gap of no length would vanish from every window.
   range.until_ms = std::max(range.until_ms, range.from_ms + 1);
   Part& current = PartFor(CurrentBucket());
@@ -241,7 +241,7 @@
   return PendingWrite{next->key.ToString(), *next->attempted, next->version};
 }
 
-std::optional<std::string> OwnCounts::NextDoubt() const {
+std::optional<std::string> OwnCounts::NextKeyInDoubt() const {
   for (const auto& [bucket, part] : buckets_) {
     if (part.is_in_doubt) {
       return part.key.ToString();
@@ -271,7 +271,7 @@
   }
 }
 
-void OwnCounts::DidDoubt(const std::string& key) {
+void OwnCounts::MarkInDoubt(const std::string& key) {
   Part* const part = FindPart(key);
   if (part != nullptr) {
     part->is_in_doubt = true;
@@ -324,7 +324,7 @@
     part->attempted.reset();
     return;
   }
-  DidEndUnseen(*part);
+  DidExpireInDoubt(*part);
 }
 
 // From now on every segment states the time that it covers, because the VM that
@@ -339,7 +339,7 @@
 
 // The roll-up may or may not contain the counts that the last attempt added.
 // They are dropped, so that they are neither counted twice nor counted as good.
-void OwnCounts::DidEndUnseen(Part& part) {
+void OwnCounts::DidExpireInDoubt(Part& part) {
   if (!part.attempted) {
     DidEnd(part, Segment(part.acknowledged), true);
     return;
@@ -352,7 +352,7 @@
       is_stored ? part.acknowledged.range.until_ms : final.range.from_ms,
       final.range.until_ms};
   DidEnd(part, final, true);
-  GiveUp(lost, range);
+  RecordLoss(lost, range);
 }
 
 void OwnCounts::DidEnd(Part& part, const Segment& final, bool is_sealed) {
--- a/src/burn/own_counts.h
+++ b/src/burn/own_counts.h
@@ -44,14 +44,14 @@
   std::optional<PendingWrite> NextWrite(bool is_stopping);
   // Returns a key in doubt, whose value must be read back before the next
   // write.
-  std::optional<std::string> NextDoubt() const;
+  std::optional<std::string> NextKeyInDoubt() const;
 
   void DidWrite(const std::string& key, std::int64_t version);
   // The write certainly did not take effect.
   void DidNotWrite(const std::string& key);
   // The write may have taken effect, or the key's version is not the expected
   // one.
-  void DidDoubt(const std::string& key);
+  void MarkInDoubt(const std::string& key);
 
   // Takes the value of a key in doubt as read back from the store.
   void DidReadBack(const std::string& key,
@@ -105,14 +105,14 @@
   Segment MakeSegment(const Part& part, bool is_stopping) const;
   void DidFindSeal();
   // The part was rolled up so long ago that its sources are no longer listed.
-  void DidEndUnseen(Part& part);
+  void DidExpireInDoubt(Part& part);
   // Moves the contents of `part` to the next key.
   void StartNextPart(Part& part);
   // The part's value in the store is `final` and will not change any more.
   void DidEnd(Part& part, const Segment& final, bool is_sealed);
   // Records a gap in the current part: the counts `lost` of `range` cannot be
   // written.
-  void GiveUp(const Cells& lost, WallRange range);
+  void RecordLoss(const Cells& lost, WallRange range);
 
   const BurnSettings settings_;
   const base::Clock clock_;
--- a/src/burn/report.h
+++ b/src/burn/report.h
@@ -92,7 +92,7 @@
 struct ClassReport {
   std::string name;
   // The targets that the latest requests were evaluated against.
-  JudgedBy latest_targets;
+  AppliedTargets latest_targets;
   std::vector<WindowReport> windows;
   BudgetReport latency_budget;
   BudgetReport coverage_budget;
--- a/src/burn/report_builder.cc
+++ b/src/burn/report_builder.cc
@@ -8,8 +8,8 @@
 #include <utility>
 
 #include "src/burn/gap_finder.h"
-#include "src/burn/judgement.h"
 #include "src/burn/keys.h"
+#include "src/burn/target_evaluation.h"
 
 namespace medlarspread::burn {
 
@@ -52,7 +52,7 @@
     for (const std::string& id : ContainedIn(input.segments)) {
       segments_.erase(id);
     }
-    histories_ = HistoriesOf(segments_);
+    histories_ = BuildHistories(segments_);
     FindGaps();
     const std::int64_t end_minute = MinuteOf(input.now_wall_ms) + 1;
     end_ms_ = end_minute * kMillisecondsPerMinute;
@@ -62,7 +62,7 @@
     BurnReport report;
     DescribeReport(report);
     DescribeClocks(report);
-    DescribeSilentVms(report);
+    DescribeVmsWithoutCounts(report);
     std::map<std::string, Cells> by_class;
     for (const auto& [id, segment] : segments_) {
       for (const auto& [key, counts] : segment.cells) {
@@ -101,7 +101,7 @@
 
   void AddOpenGap(const VmIncarnation& of) {
     const std::int64_t gone_by =
-        GoneBy(of, histories_, input_.gone_wall_ms, input_.now_wall_ms);
+        LatestEndOf(of, histories_, input_.gone_wall_ms, input_.now_wall_ms);
     Gap gap = GapAfter(of, histories_, gone_by, input_.longest_request);
     if (gap.range.length_ms() == 0) {
       return;
@@ -136,7 +136,7 @@
   }
 
   // Adds members and lost VMs of which no write is known.
-  void DescribeSilentVms(BurnReport& report) const {
+  void DescribeVmsWithoutCounts(BurnReport& report) const {
     std::set<VmIncarnation> known;
     for (const auto& [of, history] : histories_) {
       known.insert(of);
@@ -181,11 +181,11 @@
     return report;
   }
 
-  static JudgedBy LatestTargets(const Cells& cells) {
-    JudgedBy latest;
+  static AppliedTargets LatestTargets(const Cells& cells) {
+    AppliedTargets latest;
     for (const auto& [key, counts] : cells) {
-      if (key.judged_by.revision >= latest.revision) {
-        latest = key.judged_by;
+      if (key.applied_targets.revision >= latest.revision) {
+        latest = key.applied_targets;
       }
     }
     return latest;
@@ -216,10 +216,10 @@
 
   WindowReport BuildWindow(const std::string& name,
                            const WallRange& range,
-                           const JudgedBy& latest,
+                           const AppliedTargets& latest,
                            const std::string& class_name,
                            const Cells& cells) const {
-    const JudgedSum sum = SumOver(cells, range);
+    const SumWithAllowance sum = SumOver(cells, range);
     const Counts& counts = sum.counts;
     WindowReport window;
     window.name = name;
@@ -228,12 +228,12 @@
     window.counts = counts;
     window.unaccounted = UnaccountedIn(range, class_name);
     const std::int64_t unaccounted = window.unaccounted.requests_estimate;
-    window.latency = JudgeTarget(counts.in_time, counts.asked,
-                                 sum.latency_allowed_millionths, unaccounted,
-                                 latest.latency_allowed_ppm);
-    window.coverage = JudgeTarget(counts.coverage_met, counts.asked,
-                                  sum.coverage_allowed_millionths, unaccounted,
-                                  latest.coverage_allowed_ppm);
+    window.latency = EvaluateTarget(counts.in_time, counts.asked,
+                                    sum.latency_allowed_millionths, unaccounted,
+                                    latest.latency_allowed_ppm);
+    window.coverage = EvaluateTarget(counts.coverage_met, counts.asked,
+                                     sum.coverage_allowed_millionths,
+                                     unaccounted, latest.coverage_allowed_ppm);
     if (counts.shard_answers > 0) {
       window.extra_load = static_cast<double>(counts.upstream_sends) /
                               static_cast<double>(counts.shard_answers) -
@@ -291,7 +291,7 @@
         end_ms_ - kHistoryMinutes * kMillisecondsPerMinute;
     for (std::int64_t from = start_ms; from < end_ms_; from += step_ms) {
       const WallRange range{from, from + step_ms};
-      const JudgedSum sum = SumOver(cells, range);
+      const SumWithAllowance sum = SumOver(cells, range);
       const Counts& counts = sum.counts;
       const Unaccounted unaccounted = UnaccountedIn(range, report.name);
       HistoryPoint point{from, kHistoryStepMinutes, counts, {}, {}, 0};
--- a/src/burn/report_format.cc
+++ b/src/burn/report_format.cc
@@ -71,7 +71,7 @@
   return burn_rate ? fmt::format("{:.2f}", *burn_rate) : "no budget";
 }
 
-std::string WriteTargets(const JudgedBy& targets) {
+std::string WriteTargets(const AppliedTargets& targets) {
   return fmt::format(
       "{:.6g}% within {:.6g} ms, {:.6g}% with coverage of {:.6g} or more",
       PercentileOf(targets.latency_allowed_ppm),
--- a/src/burn/report_json.cc
+++ b/src/burn/report_json.cc
@@ -90,7 +90,7 @@
   return object;
 }
 
-value WriteJudgedBy(const JudgedBy& targets) {
+value WriteJudgedBy(const AppliedTargets& targets) {
   value object;
   object["revision"] = Number(targets.revision);
   object["latency_us"] = Number(targets.latency_us);
--- a/src/burn/report_writers.h
+++ b/src/burn/report_writers.h
@@ -24,7 +24,7 @@
 // "1.25"; "no budget" if absent.
 std::string WriteBurn(const std::optional<double>& burn_rate);
 // "99% within 91 ms, 99% with coverage 0.98 or more".
-std::string WriteTargets(const JudgedBy& targets);
+std::string WriteTargets(const AppliedTargets& targets);
 // Returns whole requests, rounded down, so that the remaining budget is never
 // overstated.
 std::int64_t WholeRequests(std::int64_t millionths);
--- a/src/burn/roll_up.cc
+++ b/src/burn/roll_up.cc
@@ -58,8 +58,8 @@
   return segments;
 }
 
-bool IsHolder(const blackboard::MembershipView& view,
-              const std::string& subject) {
+bool IsResponsible(const blackboard::MembershipView& view,
+                   const std::string& subject) {
   std::vector<std::string> live;
   for (const auto& [name, member] : view.members) {
     if (member.state == blackboard::MemberState::kLive) {
@@ -70,7 +70,7 @@
          base::RankByRendezvous(subject, std::move(live)).front() == view.self;
 }
 
-std::set<VmIncarnation> MembersOf(const blackboard::MembershipView& view) {
+std::set<VmIncarnation> CurrentMembers(const blackboard::MembershipView& view) {
   std::set<VmIncarnation> members;
   for (const auto& [name, member] : view.members) {
     if (member.state != blackboard::MemberState::kGone) {
@@ -80,8 +80,8 @@
   return members;
 }
 
-std::vector<StoredSegment> SealGone(const SealInput& input,
-                                    const BurnSettings& settings) {
+std::vector<StoredSegment> SealGoneWriters(const SealInput& input,
+                                           const BurnSettings& settings) {
   std::map<std::string, Segment> by_id;
   // The open segments of each incarnation that is gone, the oldest first.
   std::map<VmIncarnation, std::vector<const StoredSegment*>> open;
@@ -92,12 +92,12 @@
       open[of].push_back(&raw);
     }
   }
-  const Histories histories = HistoriesOf(by_id);
+  const Histories histories = BuildHistories(by_id);
   std::vector<StoredSegment> sealed;
   for (auto& [of, raws] : open) {
     const IncarnationHistory& history = histories.at(of);
     const std::int64_t gone_by =
-        GoneBy(of, histories, input.gone_wall_ms, input.now_wall_ms);
+        LatestEndOf(of, histories, input.gone_wall_ms, input.now_wall_ms);
     if (IsGoneForLong(history, gone_by, input.now_wall_ms, settings)) {
       std::ranges::sort(raws, {}, [](const StoredSegment* raw) {
         return raw->segment.range;
@@ -114,7 +114,7 @@
   return sealed;
 }
 
-void Fold(const StoredSegment& source, bool is_day, Segment& roll_up) {
+void MergeSegment(const StoredSegment& source, bool is_day, Segment& roll_up) {
   const Segment& segment = source.segment;
   assert(segment.is_closed && !Contains(roll_up, source.key));
   for (const auto& [key, counts] : segment.cells) {
--- a/src/burn/roll_up.h
+++ b/src/burn/roll_up.h
@@ -42,11 +42,11 @@
 
 // Whether this VM is responsible for the work named `subject`: the live member
 // with the highest hash is (rendezvous hashing).
-bool IsHolder(const blackboard::MembershipView& view,
-              const std::string& subject);
+bool IsResponsible(const blackboard::MembershipView& view,
+                   const std::string& subject);
 
 // Returns the current members, live or leaving.
-std::set<VmIncarnation> MembersOf(const blackboard::MembershipView& view);
+std::set<VmIncarnation> CurrentMembers(const blackboard::MembershipView& view);
 
 struct SealInput {
   std::vector<StoredSegment> raws;
@@ -58,12 +58,12 @@
 // Closes the oldest open segment of each incarnation that has been gone long
 // enough. The last open segment also gets the gap after the incarnation's last
 // counts.
-std::vector<StoredSegment> SealGone(const SealInput& input,
-                                    const BurnSettings& settings);
+std::vector<StoredSegment> SealGoneWriters(const SealInput& input,
+                                           const BurnSettings& settings);
 
 // Merges a closed segment into the roll-up of its hour or day. For a day, cells
 // are merged by hour.
-void Fold(const StoredSegment& source, bool is_day, Segment& roll_up);
+void MergeSegment(const StoredSegment& source, bool is_day, Segment& roll_up);
 
 // Whether `roll_up` contains the segment of `key`.
 bool Contains(const Segment& roll_up, const std::string& key);
--- a/src/burn/roll_up_runner.cc
+++ b/src/burn/roll_up_runner.cc
@@ -14,12 +14,12 @@
 
 constexpr std::int64_t kHoursPerDay = kMinutesPerDay / kMinutesPerHour;
 // Number of older hours to check again, one per pass. The start shifts by
-// kTurnsPerHour each hour, which is coprime to this number, so that every older
-// hour is checked although the responsible VM changes each hour.
-constexpr std::int64_t kTurns = 47;
-constexpr std::int64_t kTurnsPerHour = 5;
+// kOldHourShiftPerHour each hour, which is coprime to this number, so that
+// every older hour is checked although the responsible VM changes each hour.
+constexpr std::int64_t kOldHoursChecked = 47;
+constexpr std::int64_t kOldHourShiftPerHour = 5;
 // Number of days beyond the retention period to check, one per pass.
-constexpr std::int64_t kOldDaysLookedAt = 30;
+constexpr std::int64_t kOldDaysChecked = 30;
 
 }  // namespace
 
@@ -49,17 +49,18 @@
   for (const std::string& failure_domain : failure_domains) {
     std::string subject = "burn/domain/";
     subject.append(failure_domain).append(hour);
-    if (IsHolder(*view, subject)) {
+    if (IsResponsible(*view, subject)) {
       steps_->Push([this, failure_domain] { domains_.Start(failure_domain); });
     }
   }
-  if (IsHolder(*view, "burn/day" + hour)) {
+  if (IsResponsible(*view, "burn/day" + hour)) {
     // Process the hour that is due now, and in turn one of the older hours, for
     // counts that were written late.
     const std::int64_t due = now_hour - kHoursKept;
-    const std::int64_t turn = (passes_ + kTurnsPerHour * now_hour) % kTurns;
+    const std::int64_t turn =
+        (passes_ + kOldHourShiftPerHour * now_hour) % kOldHoursChecked;
     const std::int64_t old_day =
-        now_hour / kHoursPerDay - kDaysKept - passes_ % kOldDaysLookedAt;
+        now_hour / kHoursPerDay - kDaysKept - passes_ % kOldDaysChecked;
     steps_->Push([this, due] { days_.Start(due); });
     steps_->Push([this, late = due - 1 - turn] { days_.Start(late); });
     steps_->Push([this, old_day] { days_.EraseDay(old_day); });
--- a/src/burn/segment.cc
+++ b/src/burn/segment.cc
@@ -29,13 +29,13 @@
 }
 
 // The row in the table of targets that a cell refers to.
-using TargetsRow = std::pair<std::string, JudgedBy>;
+using TargetsRow = std::pair<std::string, AppliedTargets>;
 using TargetsTable = std::map<TargetsRow, std::int64_t>;
 
 TargetsTable MakeTable(const Cells& cells) {
   TargetsTable table;
   for (const auto& [key, counts] : cells) {
-    table.emplace(TargetsRow{key.class_name, key.judged_by}, 0);
+    table.emplace(TargetsRow{key.class_name, key.applied_targets}, 0);
   }
   std::int64_t index = 0;
   for (auto& [row, number] : table) {
@@ -47,10 +47,11 @@
 value EncodeTable(const TargetsTable& table) {
   value rows = value::array(table.size());
   for (const auto& [row, index] : table) {
-    const JudgedBy& judged_by = row.second;
+    const AppliedTargets& applied_targets = row.second;
     value fields = Numbers(
-        {0, judged_by.revision, judged_by.latency_us, judged_by.coverage_ppm,
-         judged_by.latency_allowed_ppm, judged_by.coverage_allowed_ppm});
+        {0, applied_targets.revision, applied_targets.latency_us,
+         applied_targets.coverage_ppm, applied_targets.latency_allowed_ppm,
+         applied_targets.coverage_allowed_ppm});
     fields[0] = value::string(row.first);
     rows[index] = fields;
   }
@@ -62,7 +63,7 @@
   std::size_t next = 0;
   for (const auto& [key, counts] : cells) {
     rows[next++] =
-        Numbers({table.at({key.class_name, key.judged_by}), key.minute,
+        Numbers({table.at({key.class_name, key.applied_targets}), key.minute,
                  counts.asked, counts.answered, counts.in_time,
                  counts.coverage_met, counts.both_met, counts.refused,
                  counts.unknown, counts.shard_answers, counts.upstream_sends});
@@ -113,10 +114,10 @@
       throw web::json::json_exception(
           "targets row has the wrong number of fields");
     }
-    table.push_back(
-        {row.at(0).as_string(),
-         JudgedBy{Integer(row.at(1)), Integer(row.at(2)), Integer(row.at(3)),
-                  Integer(row.at(4)), Integer(row.at(5))}});
+    table.push_back({row.at(0).as_string(),
+                     AppliedTargets{Integer(row.at(1)), Integer(row.at(2)),
+                                    Integer(row.at(3)), Integer(row.at(4)),
+                                    Integer(row.at(5))}});
   }
   return table;
 }
--- a/src/burn/segment_reader.cc
+++ b/src/burn/segment_reader.cc
@@ -15,7 +15,7 @@
 namespace {
 
 // Batch size; takes about 10 ms for segments of ten minutes and eight classes.
-constexpr std::size_t kAtOnce = 50;
+constexpr std::size_t kBatchSize = 50;
 
 class Reader : public std::enable_shared_from_this<Reader> {
  public:
@@ -43,15 +43,15 @@
                     return;
                   }
                   self->entries_ = result.value();
-                  self->AddSome(0);
+                  self->AddBatch(0);
                 });
   }
 
  private:
   // Decodes a batch of entries starting at `first`, and posts a task for the
   // rest.
-  void AddSome(std::size_t first) {
-    const std::size_t end = std::min(entries_.size(), first + kAtOnce);
+  void AddBatch(std::size_t first) {
+    const std::size_t end = std::min(entries_.size(), first + kBatchSize);
     const auto begin = entries_.begin();
     Add({begin + static_cast<std::ptrdiff_t>(first),
          begin + static_cast<std::ptrdiff_t>(end)});
@@ -60,7 +60,7 @@
       Next();
       return;
     }
-    control_.Post([self = shared_from_this(), end] { self->AddSome(end); });
+    control_.Post([self = shared_from_this(), end] { self->AddBatch(end); });
   }
 
   void Add(const std::vector<store::Entry>& entries) {
--- a/src/burn/judgement.cc
+++ b/src/burn/target_evaluation.cc
@@ -1,6 +1,6 @@
 // Computes sums, burn rates and verdicts.
 
-#include "src/burn/judgement.h"
+#include "src/burn/target_evaluation.h"
 
 #include <chrono>
 
@@ -26,27 +26,30 @@
 
 }  // namespace
 
-void JudgedSum::Add(const JudgedBy& judged_by, const Counts& added) {
+void SumWithAllowance::Add(const AppliedTargets& applied_targets,
+                           const Counts& added) {
   counts += added;
-  latency_allowed_millionths += added.asked * judged_by.latency_allowed_ppm;
-  coverage_allowed_millionths += added.asked * judged_by.coverage_allowed_ppm;
+  latency_allowed_millionths +=
+      added.asked * applied_targets.latency_allowed_ppm;
+  coverage_allowed_millionths +=
+      added.asked * applied_targets.coverage_allowed_ppm;
 }
 
-std::optional<double> JudgedSum::latency_burn() const {
+std::optional<double> SumWithAllowance::latency_burn() const {
   return BurnRate(counts.asked - counts.in_time, latency_allowed_millionths);
 }
 
-std::optional<double> JudgedSum::coverage_burn() const {
+std::optional<double> SumWithAllowance::coverage_burn() const {
   return BurnRate(counts.asked - counts.coverage_met,
                   coverage_allowed_millionths);
 }
 
-JudgedSum SumOver(const Cells& cells, const WallRange& range) {
-  JudgedSum sum;
+SumWithAllowance SumOver(const Cells& cells, const WallRange& range) {
+  SumWithAllowance sum;
   for (const auto& [key, counts] : cells) {
     const std::int64_t start_ms = key.minute * kMillisecondsPerMinute;
     if (start_ms >= range.from_ms && start_ms < range.until_ms) {
-      sum.Add(key.judged_by, counts);
+      sum.Add(key.applied_targets, counts);
     }
   }
   return sum;
@@ -64,11 +67,11 @@
          static_cast<double>(allowed_millionths);
 }
 
-TargetReport JudgeTarget(std::int64_t good,
-                         std::int64_t asked,
-                         std::int64_t allowed_millionths,
-                         std::int64_t unaccounted,
-                         std::int64_t allowed_ppm) {
+TargetReport EvaluateTarget(std::int64_t good,
+                            std::int64_t asked,
+                            std::int64_t allowed_millionths,
+                            std::int64_t unaccounted,
+                            std::int64_t allowed_ppm) {
   TargetReport target;
   target.good = good;
   target.bad = asked - good;
--- a/tests/burn/burn_controller_test.cc
+++ b/tests/burn/burn_controller_test.cc
@@ -228,7 +228,7 @@
 TEST_F(BurnControllerTest, ProcessesWithOneIdentityAreBothCounted) {
   fleet_.StartVm("entry-1");
   fleet_.StartVm("entry-2");
-  fleet_.StartTwin("entry-2", "twin");
+  fleet_.StartDuplicate("entry-2", "twin");
   for (int minute = 0; minute < 40; ++minute) {
     RunTraffic("entry-2", 30);
     RunTraffic("twin", 30);
--- a/tests/burn/burn_fleet.cc
+++ b/tests/burn/burn_fleet.cc
@@ -38,7 +38,8 @@
   Start(name, {name, next_incarnation_++}, clock_offset_ms);
 }
 
-void BurnFleet::StartTwin(const std::string& name, const std::string& alias) {
+void BurnFleet::StartDuplicate(const std::string& name,
+                               const std::string& alias) {
   Start(alias, vms_.at(name).id, 0);
 }
 
@@ -58,7 +59,7 @@
   settings.failure_domain = "domain-a";
   vm.controller = std::make_shared<BurnController>(
       settings, base::Clock(vm.time), *vm.random, RunnerOf(vm.scheduler),
-      store_.PortFor(alias, RunnerOf(vm.scheduler)), *vm.board);
+      store_.StoreFor(alias, RunnerOf(vm.scheduler)), *vm.board);
   vm.controller->Start();
   vms_.insert_or_assign(alias, std::move(vm));
   PublishMembers();
--- a/tests/burn/burn_fleet.h
+++ b/tests/burn/burn_fleet.h
@@ -35,7 +35,7 @@
   // `clock_offset_ms` is how far the VM's wall clock is ahead.
   void StartVm(const std::string& name, std::int64_t clock_offset_ms = 0);
   // Starts another process with the identity that `name` has, as `alias`.
-  void StartTwin(const std::string& name, const std::string& alias);
+  void StartDuplicate(const std::string& name, const std::string& alias);
   // The VM crashes, and the membership is updated.
   void KillVm(const std::string& name);
   // The VM shuts down in an orderly way.
--- a/tests/burn/fake_store.cc
+++ b/tests/burn/fake_store.cc
@@ -81,8 +81,8 @@
                                  : found->second;
 }
 
-store::Store FakeStore::PortFor(const std::string& vm,
-                                base::TaskRunner runner) {
+store::Store FakeStore::StoreFor(const std::string& vm,
+                                 base::TaskRunner runner) {
   // Makes the call now and posts the reply to the VM.
   const auto answer = [this, vm, runner](std::int64_t& calls, auto call,
                                          auto callback) {
--- a/tests/burn/fake_store.h
+++ b/tests/burn/fake_store.h
@@ -21,7 +21,7 @@
   explicit FakeStore(base::TaskRunner runner) : runner_(std::move(runner)) {}
 
   // Returns the store as seen by the VM `vm`; callbacks run on `runner`.
-  store::Store PortFor(const std::string& vm, base::TaskRunner runner);
+  store::Store StoreFor(const std::string& vm, base::TaskRunner runner);
 
   void set_available(bool is_available) { is_available_ = is_available; }
   void CutOff(const std::string& vm, bool is_cut) { is_cut_[vm] = is_cut; }
--- a/tests/burn/gap_finder_test.cc
+++ b/tests/burn/gap_finder_test.cc
@@ -22,15 +22,15 @@
 }
 
 TEST(GapFinderTest, NextIncarnationEndsTheGap) {
-  EXPECT_EQ(GoneBy(kFirst, TwoIncarnations(), {}, kNowMs), 250'000);
-  EXPECT_EQ(GoneBy(kSecond, TwoIncarnations(), {}, kNowMs), kNowMs);
-  EXPECT_EQ(GoneBy(kOther, TwoIncarnations(), {}, kNowMs), kNowMs);
+  EXPECT_EQ(LatestEndOf(kFirst, TwoIncarnations(), {}, kNowMs), 250'000);
+  EXPECT_EQ(LatestEndOf(kSecond, TwoIncarnations(), {}, kNowMs), kNowMs);
+  EXPECT_EQ(LatestEndOf(kOther, TwoIncarnations(), {}, kNowMs), kNowMs);
 }
 
 TEST(GapFinderTest, EarlierMarkEndsTheGapUnlessCountsCameLater) {
-  EXPECT_EQ(GoneBy(kFirst, TwoIncarnations(), {{kFirst, 210'000}}, kNowMs),
+  EXPECT_EQ(LatestEndOf(kFirst, TwoIncarnations(), {{kFirst, 210'000}}, kNowMs),
             210'000);
-  EXPECT_EQ(GoneBy(kFirst, TwoIncarnations(), {{kFirst, 199'999}}, kNowMs),
+  EXPECT_EQ(LatestEndOf(kFirst, TwoIncarnations(), {{kFirst, 199'999}}, kNowMs),
             250'000);
 }
 
--- a/tests/burn/own_counts_test.cc
+++ b/tests/burn/own_counts_test.cc
@@ -67,7 +67,7 @@
   ASSERT_TRUE(first.has_value());
   EXPECT_EQ(first->key, "burn/raw/a/entry-1/1/7/0");
   EXPECT_FALSE(first->segment.is_closed);
-  counts_.DidDoubt(first->key);
+  counts_.MarkInDoubt(first->key);
   // It is not known whether the current bucket is in the store. If the older
   // one were closed now, a crash of this VM could go unnoticed.
   const auto second = counts_.NextWrite(false);
@@ -137,7 +137,7 @@
   counts_.Collect(cells);
   const auto second = counts_.NextWrite(false);
   EXPECT_EQ(second->segment.cells.begin()->second.asked, 17);
-  counts_.DidDoubt(second->key);
+  counts_.MarkInDoubt(second->key);
   // A day later the segment is gone, and so are the lists of sources.
   time_->Advance(base::Milliseconds(86'400'000));
   counts_.Collect({});
--- a/tests/burn/report_format_test.cc
+++ b/tests/burn/report_format_test.cc
@@ -9,9 +9,9 @@
 // NOTE: defines a macro U that GoogleTest's headers must not see.
 #include <cpprest/json.h>
 
-#include "src/burn/judgement.h"
 #include "src/burn/report_builder.h"
 #include "src/burn/report_writers.h"
+#include "src/burn/target_evaluation.h"
 
 namespace medlarspread::burn {
 namespace {
@@ -42,13 +42,13 @@
   input.reporting_vm = "entry-1";
   input.now_wall_ms = kNowMs;
   input.longest_request = base::Milliseconds(1'000);
-  const JudgedBy judged_by{3, 91'000, 980'000, 10'000, 1'000};
+  const AppliedTargets applied_targets{3, 91'000, 980'000, 10'000, 1'000};
   Segment segment;
   segment.writer = {"entry-1", 5};
   segment.range = {kNowMs - 600'000, kNowMs};
-  segment.cells[{kNowMinute - 600, "desk<1>", judged_by}] =
+  segment.cells[{kNowMinute - 600, "desk<1>", applied_targets}] =
       MakeCounts(100'000, 100'000);
-  segment.cells[{kNowMinute - 1, "desk<1>", judged_by}] =
+  segment.cells[{kNowMinute - 1, "desk<1>", applied_targets}] =
       MakeCounts(1'000, 600);
   input.segments["burn/raw/a/entry-1/5/1/0"] = segment;
   Segment lost;
--- a/tests/burn/segment_test.cc
+++ b/tests/burn/segment_test.cc
@@ -34,9 +34,9 @@
   segment.is_after_seal = *rc::gen::arbitrary<bool>();
   segment.clock_step_ms = AnyNumber();
   for (int i = *rc::gen::inRange(0, 5); i > 0; --i) {
-    const JudgedBy judged_by{AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber(),
-                             AnyNumber()};
-    segment.cells[{AnyNumber(), std::to_string(i % 2), judged_by}] = {
+    const AppliedTargets applied_targets{AnyNumber(), AnyNumber(), AnyNumber(),
+                                         AnyNumber(), AnyNumber()};
+    segment.cells[{AnyNumber(), std::to_string(i % 2), applied_targets}] = {
         AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber(),
         AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber()};
     segment.gaps.push_back(
