--- a/src/burn/report_json.cc
+++ b/src/burn/report_json.cc
@@ -90,7 +90,7 @@
   return object;
 }
 
-value WriteJudgedBy(const AppliedTargets& targets) {
+value WriteAppliedTargets(const AppliedTargets& targets) {
   value object;
   object["revision"] = Number(targets.revision);
   object["latency_us"] = Number(targets.latency_us);
@@ -114,7 +114,7 @@
 value WriteClass(const ClassReport& report) {
   value object;
   object["name"] = value::string(report.name);
-  object["latest_targets"] = WriteJudgedBy(report.latest_targets);
+  object["latest_targets"] = WriteAppliedTargets(report.latest_targets);
   object["windows"] = Array(report.windows, WriteWindow);
   object["latency_budget"] = WriteBudget(report.latency_budget);
   object["coverage_budget"] = WriteBudget(report.coverage_budget);
--- a/src/burn/target_evaluation.cc
+++ b/src/burn/target_evaluation.cc
@@ -11,10 +11,10 @@
 constexpr std::int64_t kMillisecondsPerDay =
     kMinutesPerDay * kMillisecondsPerMinute;
 
-Verdict Judge(std::int64_t bad,
-              std::int64_t allowed_millionths,
-              std::int64_t unaccounted,
-              std::int64_t allowed_ppm) {
+Verdict DetermineVerdict(std::int64_t bad,
+                         std::int64_t allowed_millionths,
+                         std::int64_t unaccounted,
+                         std::int64_t allowed_ppm) {
   if (bad * kMillion > allowed_millionths) {
     return Verdict::kMissed;
   }
@@ -81,8 +81,8 @@
     target.share = static_cast<double>(good) / static_cast<double>(asked);
   }
   if (asked + unaccounted > 0) {
-    target.verdict =
-        Judge(target.bad, allowed_millionths, unaccounted, allowed_ppm);
+    target.verdict = DetermineVerdict(target.bad, allowed_millionths,
+                                      unaccounted, allowed_ppm);
   }
   return target;
 }
--- a/tests/burn/burn_controller_test.cc
+++ b/tests/burn/burn_controller_test.cc
@@ -133,7 +133,7 @@
   EXPECT_GE(report.classes[0].windows[1].unaccounted.requests_estimate, 20);
 }
 
-TEST_F(BurnControllerTest, JudgesByTheTargetInForceWhenAsked) {
+TEST_F(BurnControllerTest, EvaluatesAgainstTheTargetInForceAtArrival) {
   fleet_.StartVm("entry-1");
   fleet_.StartVm("entry-2");
   for (int second = 0; second < 120; ++second) {
