--- a/src/burn/burn_chart.cc
+++ b/src/burn/burn_chart.cc
@@ -1,4 +1,4 @@
-// Layout of the chart, in the units of its view box.
+// Lays out the chart in the units of its SVG view box.
 
 #include "src/burn/burn_chart.h"
 
@@ -22,13 +22,13 @@
 constexpr double kBottom = 30;
 constexpr double kPlotWidth = kWidth - kLeft - kRight;
 constexpr double kPlotHeight = kHeight - kTop - kBottom;
-// The scale reaches at least to this burn, and never beyond the last tick.
-constexpr double kLeastTop = 2;
+// The scale reaches at least up to kMinTop and at most up to the last tick.
+constexpr double kMinTop = 2;
 constexpr double kTicks[] = {0, 1, 2, 5, 10, 20, 50, 100};
-constexpr double kGreatestTop = 100;
+constexpr double kMaxTop = 100;
 
 struct Scale {
-  double top = kLeastTop;
+  double top = kMinTop;
   std::size_t points = 0;
 
   double X(double index) const {
@@ -51,16 +51,17 @@
   return point.coverage_burn;
 }
 
-// Absent means either that nothing was asked or that there is no budget.
+// Absent if there were no requests. A point without a burn rate (no budget) is
+// drawn at the top.
 Burn BurnToDraw(const HistoryPoint& point, PickBurn pick) {
   if (point.counts.asked == 0) {
     return std::nullopt;
   }
-  return pick(point).value_or(kGreatestTop);
+  return pick(point).value_or(kMaxTop);
 }
 
 Scale MakeScale(const std::vector<HistoryPoint>& history) {
-  double most = kLeastTop;
+  double most = kMinTop;
   for (const HistoryPoint& point : history) {
     most = std::max({most, BurnToDraw(point, LatencyBurn).value_or(0),
                      BurnToDraw(point, CoverageBurn).value_or(0)});
@@ -68,7 +69,7 @@
   const auto* const tick =
       std::find_if(std::begin(kTicks), std::end(kTicks),
                    [most](double value) { return value >= most; });
-  return {tick == std::end(kTicks) ? kGreatestTop : *tick, history.size()};
+  return {tick == std::end(kTicks) ? kMaxTop : *tick, history.size()};
 }
 
 std::string DrawLine(const std::vector<HistoryPoint>& history,
@@ -80,8 +81,8 @@
   for (std::size_t i = 0; i < history.size(); ++i) {
     const Burn burn = BurnToDraw(history[i], pick);
     if (burn) {
-      // Each point is a step as wide as its minutes, so that a single one
-      // shows too.
+      // Each point is drawn as a horizontal step over its minutes, so that a
+      // single point is visible too.
       const double y = scale.Y(*burn);
       path += fmt::format("{}{:.1f} {:.1f}H{:.1f}", is_pen_down ? "L" : "M",
                           scale.X(static_cast<double>(i)), y,
--- a/src/burn/burn_controller.cc
+++ b/src/burn/burn_controller.cc
@@ -1,5 +1,5 @@
-// Puts the parts of the burn report together on the control sequence: collect
-// every second, flush and roll up on their own jittered timers, report on
+// Runs the parts of the burn report on the control sequence: collects counts at
+// a fixed interval, flushes and rolls up on jittered timers, and reports on
 // demand.
 
 #include "src/burn/burn_controller.h"
@@ -8,7 +8,7 @@
 
 #include "src/burn/burn_view.h"
 #include "src/burn/count_writer.h"
-#include "src/burn/gone_watch.h"
+#include "src/burn/lost_member_monitor.h"
 #include "src/burn/own_counts.h"
 #include "src/burn/report_builder.h"
 #include "src/burn/roll_up_runner.h"
@@ -19,13 +19,14 @@
 
 namespace {
 
-constexpr int kStopTries = 4;
+constexpr int kMaxStopAttempts = 4;
 constexpr base::Duration kStopRetryDelay = base::Milliseconds(500);
-// A member's counts are overdue after this many flush intervals.
+// A member's counts are overdue after this many flush intervals without a
+// write.
 constexpr int kGraceIntervals = 3;
 
-// Spread from three to five quarters of `mean`, so that VMs that started
-// together do not write together.
+// Returns 0.75 to 1.25 times `mean`, so that VMs started together do not write
+// at the same time.
 base::Duration Jitter(base::Duration mean, base::Random& random) {
   constexpr double kLeast = 0.75;
   constexpr double kSpread = 0.5;
@@ -35,7 +36,7 @@
 }
 
 std::int64_t DrawNonce(base::Random& random) {
-  // JSON readers keep integers below this exactly.
+  // JSON parsers that use doubles represent integers below 2^53 exactly.
   constexpr std::uint64_t kBound = std::uint64_t{1} << 53;
   return static_cast<std::int64_t>(random.Below(kBound));
 }
@@ -59,8 +60,11 @@
         log(std::move(log_in)),
         own(settings, clock, DrawNonce(random_in)),
         writer(std::make_shared<CountWriter>(settings, store, own, log)),
-        gone_watch(
-            std::make_shared<GoneWatch>(settings, clock, store, board, log)),
+        lost_member_monitor(std::make_shared<LostMemberMonitor>(settings,
+                                                                clock,
+                                                                store,
+                                                                board,
+                                                                log)),
         roll_up(settings, clock, store, board, log) {}
 
   const BurnSettings settings;
@@ -73,19 +77,19 @@
 
   const std::shared_ptr<ShardedCounts> counts =
       std::make_shared<ShardedCounts>();
-  // This VM's counts of the last hour, for the blackboard.
+  // Counts of this VM over the last hour, published on the blackboard.
   Cells recent;
   OwnCounts own;
   const std::shared_ptr<CountWriter> writer;
-  const std::shared_ptr<GoneWatch> gone_watch;
+  const std::shared_ptr<LostMemberMonitor> lost_member_monitor;
   RollUpRunner roll_up;
 
-  // The counts that the last successful read gave, for reports in an outage.
+  // Result of the last successful read; used for reports during a store outage.
   StoredCounts last_read;
   std::optional<std::int64_t> last_read_wall_ms;
 
   bool is_stopping = false;
-  int stop_tries = 0;
+  int stop_attempts = 0;
   std::function<void()> stopped;
 };
 
@@ -126,8 +130,8 @@
     return;
   }
   TakeCounts();
-  state.gone_watch->Look();
-  state.gone_watch->WriteMarks();
+  state.lost_member_monitor->CheckMembers();
+  state.lost_member_monitor->WriteMarks();
   After(state.settings.collect_interval, &BurnController::Collect);
 }
 
@@ -155,7 +159,7 @@
   if (state.is_stopping) {
     return;
   }
-  // What is written covers the time up to the moment it is made up.
+  // Collect first: the written segment claims to cover the time up to now.
   TakeCounts();
   state.writer->Flush(false, [self = shared_from_this()] {
     State& state = *self->state_;
@@ -185,7 +189,7 @@
     State& state = *self->state_;
     state.is_stopping = true;
     state.stopped = done;
-    // A flush under way goes on with FlushLast() when it ends.
+    // If a flush is in progress, its completion calls FlushLast().
     if (!state.writer->is_flushing()) {
       self->FlushLast();
     }
@@ -195,20 +199,21 @@
 void BurnController::FlushLast() {
   State& state = *state_;
   TakeCounts();
-  ++state.stop_tries;
+  ++state.stop_attempts;
   state.writer->Flush(true, [self = shared_from_this()] {
     State& state = *self->state_;
-    if (state.own.is_finished() || state.stop_tries >= kStopTries) {
+    if (state.own.is_finished() || state.stop_attempts >= kMaxStopAttempts) {
       if (!state.own.is_finished()) {
         state.log.Write({.level = base::LogLevel::kError,
                          .step = base::Step::kStop,
-                         .message = "the last burn counts could not be "
-                                    "written; they will be unaccounted"});
+                         .message = "could not write the last burn counts "
+                                    "to the store; the burn report will "
+                                    "list them as unaccounted"});
       }
       std::exchange(state.stopped, nullptr)();
       return;
     }
-    // NOTE: the controller stays alive until it has stopped.
+    // NOTE: `self` keeps the controller alive until it has stopped.
     state.control.After(kStopRetryDelay, [self] { self->FlushLast(); });
   });
 }
@@ -236,7 +241,7 @@
   input.class_name = query.class_name;
   input.pending_grace = kGraceIntervals * state.settings.flush_interval;
   input.longest_request = state.settings.longest_request;
-  input.members = MembersOf(*state.board.membership.Read());
+  input.members = CurrentMembers(*state.board.membership.Read());
   if (read.is_ok()) {
     state.last_read = std::move(read.value());
     state.last_read_wall_ms = input.now_wall_ms;
@@ -253,7 +258,7 @@
     input.notes.push_back("the value at " + key +
                           " is damaged; its counts are missing");
   }
-  // What this VM holds in memory is at least what it has written.
+  // The counts in memory include everything that this VM has written.
   for (auto& [key, segment] : state.own.Segments()) {
     input.segments[key] = std::move(segment);
   }
--- a/src/burn/domain_roll_up.cc
+++ b/src/burn/domain_roll_up.cc
@@ -1,8 +1,9 @@
-// A pass over a failure domain, by the VM that holds it:
-// 1. Read the marks of VMs seen to be gone, and the segments of the VMs.
-// 2. Seal open segments of writers that are gone.
-// 3. Fold closed segments into the one of their hour, by one swap an hour.
-// 4. Erase what is contained there. Only now may it go.
+// Steps of a pass over a failure domain, made by the VM responsible for it:
+// 1. Read the marks of VMs that are gone, and the segments of the VMs.
+// 2. Seal the open segments of writers that are gone.
+// 3. Merge closed segments into the segment of their hour, with one
+//    compare-and-swap per hour.
+// 4. Erase the merged segments, which must not happen before step 3 succeeds.
 
 #include "src/burn/domain_roll_up.h"
 
@@ -19,10 +20,11 @@
 
 constexpr std::int64_t kHoursPerDay = kMinutesPerDay / kMinutesPerHour;
 constexpr std::int64_t kMarkKeptMs = kMinutesPerDay * kMillisecondsPerMinute;
-// A younger hour cannot have been rolled up into its day.
-constexpr std::int64_t kSurelyNotInDayHours = 2;
-// Well below what the store takes; the next generation takes the rest.
-constexpr std::size_t kLargestRollUp = 500'000;
+// Hours more recent than this have not been rolled up into their day yet.
+constexpr std::int64_t kHoursNeverInDay = 2;
+// Size limit of a roll-up, well below the store's limit for values. What
+// exceeds it goes to the next generation.
+constexpr std::size_t kMaxRollUpBytes = 500'000;
 
 std::int64_t NextGeneration(const Segment& day,
                             const std::vector<StoredSegment>& hours,
@@ -66,7 +68,7 @@
 void DomainRollUp::Start(const std::string& failure_domain) {
   auto pass = std::make_shared<DomainPass>();
   pass->failure_domain = failure_domain;
-  pass->input.members = MembersOf(*board_.membership.Read());
+  pass->input.members = CurrentMembers(*board_.membership.Read());
   pass->input.now_wall_ms = clock_.WallMilliseconds();
   steps_.List(kGonePrefix + failure_domain + "/",
               [this, pass](const std::vector<store::Entry>& marks) {
@@ -95,7 +97,7 @@
 }
 
 void DomainRollUp::DidListRaws(std::shared_ptr<DomainPass> pass) {
-  for (StoredSegment& sealed : SealGone(pass->input, settings_)) {
+  for (StoredSegment& sealed : SealGoneWriters(pass->input, settings_)) {
     steps_.Push([this, sealed = std::move(sealed)] {
       steps_.Swap(sealed, [this](std::int64_t) { steps_.Next(); });
     });
@@ -123,7 +125,7 @@
   steps_.Next();
 }
 
-// A mark has to stay as long as a segment of its VM is open.
+// A mark must be kept as long as a segment of its VM is open.
 void DomainRollUp::EraseOldMarks(const DomainPass& pass,
                                  const std::set<VmIncarnation>& left) {
   for (const store::Entry& mark : pass.old_marks) {
@@ -139,22 +141,23 @@
   steps_.List(prefix, [this, pass](const std::vector<store::Entry>& entries) {
     pass->hours = steps_.Decode(entries);
     if (pass->hours.size() != entries.size()) {
-      // What a damaged roll-up contains is not known.
+      // The sources of a roll-up that cannot be decoded are unknown, so skip
+      // the hour.
       steps_.Next();
       return;
     }
-    // NOTE: the day is read after the list of hours. An hour that
-    // is missing from the list is in the day by then.
+    // NOTE: the day must be read after the list of hours: an hour that is
+    // missing from the list is then already in the day.
     const std::int64_t now_hour =
         MinuteOf(clock_.WallMilliseconds()) / kMinutesPerHour;
-    if (now_hour - pass->hour < kSurelyNotInDayHours) {
-      FoldIntoHour(pass);
+    if (now_hour - pass->hour < kHoursNeverInDay) {
+      MergeIntoHour(pass);
       return;
     }
     steps_.Read(DayKey(pass->hour / kHoursPerDay),
                 [this, pass](StoredSegment day) {
                   pass->day = std::move(day);
-                  FoldIntoHour(pass);
+                  MergeIntoHour(pass);
                 });
   });
 }
@@ -163,7 +166,7 @@
 StoredSegment DomainRollUp::TargetFor(const HourPass& pass) const {
   for (const StoredSegment& hour : pass.hours) {
     if (!hour.segment.is_closed &&
-        EncodeSegment(hour.segment).size() < kLargestRollUp) {
+        EncodeSegment(hour.segment).size() < kMaxRollUpBytes) {
       return hour;
     }
   }
@@ -176,12 +179,12 @@
   return target;
 }
 
-void DomainRollUp::FoldIntoHour(std::shared_ptr<HourPass> pass) {
+void DomainRollUp::MergeIntoHour(std::shared_ptr<HourPass> pass) {
   StoredSegment target = TargetFor(*pass);
   bool has_new = false;
   for (const StoredSegment& raw : pass->raws) {
     if (!ContainsAny(pass->hours, raw.key)) {
-      Fold(raw, false, target.segment);
+      MergeSegment(raw, false, target.segment);
       has_new = true;
     }
   }
--- a/src/burn/report_format.cc
+++ b/src/burn/report_format.cc
@@ -1,4 +1,4 @@
-// Choice of the writer, and the pieces of text that the writers share.
+// Selects the writer, and implements the formatting shared by the writers.
 
 #include "src/burn/report_format.h"
 
@@ -71,7 +71,7 @@
   return burn_rate ? fmt::format("{:.2f}", *burn_rate) : "no budget";
 }
 
-std::string WriteTargets(const JudgedBy& targets) {
+std::string WriteTargets(const AppliedTargets& targets) {
   return fmt::format(
       "{:.6g}% within {:.6g} ms, {:.6g}% with coverage of {:.6g} or more",
       PercentileOf(targets.latency_allowed_ppm),
--- a/src/burn/segment.cc
+++ b/src/burn/segment.cc
@@ -1,5 +1,5 @@
-// The JSON form of a segment. Cells dominate its size: each is an array of
-// numbers whose first two point to the minute and to the table of targets.
+// Encodes segments as JSON. Cells make up most of the size, so each is an array
+// of numbers: an index into the table of targets, the minute, and the counts.
 
 #include "src/burn/segment.h"
 
@@ -28,14 +28,14 @@
   return array;
 }
 
-// Which row of the table of targets a cell belongs to.
-using TargetsRow = std::pair<std::string, JudgedBy>;
+// The row in the table of targets that a cell refers to.
+using TargetsRow = std::pair<std::string, AppliedTargets>;
 using TargetsTable = std::map<TargetsRow, std::int64_t>;
 
 TargetsTable MakeTable(const Cells& cells) {
   TargetsTable table;
   for (const auto& [key, counts] : cells) {
-    table.emplace(TargetsRow{key.class_name, key.judged_by}, 0);
+    table.emplace(TargetsRow{key.class_name, key.applied_targets}, 0);
   }
   std::int64_t index = 0;
   for (auto& [row, number] : table) {
@@ -47,10 +47,11 @@
 value EncodeTable(const TargetsTable& table) {
   value rows = value::array(table.size());
   for (const auto& [row, index] : table) {
-    const JudgedBy& judged_by = row.second;
+    const AppliedTargets& applied_targets = row.second;
     value fields = Numbers(
-        {0, judged_by.revision, judged_by.latency_us, judged_by.coverage_ppm,
-         judged_by.latency_allowed_ppm, judged_by.coverage_allowed_ppm});
+        {0, applied_targets.revision, applied_targets.latency_us,
+         applied_targets.coverage_ppm, applied_targets.latency_allowed_ppm,
+         applied_targets.coverage_allowed_ppm});
     fields[0] = value::string(row.first);
     rows[index] = fields;
   }
@@ -62,7 +63,7 @@
   std::size_t next = 0;
   for (const auto& [key, counts] : cells) {
     rows[next++] =
-        Numbers({table.at({key.class_name, key.judged_by}), key.minute,
+        Numbers({table.at({key.class_name, key.applied_targets}), key.minute,
                  counts.asked, counts.answered, counts.in_time,
                  counts.coverage_met, counts.both_met, counts.refused,
                  counts.unknown, counts.shard_answers, counts.upstream_sends});
@@ -110,12 +111,13 @@
   std::vector<TargetsRow> table;
   for (const value& row : rows.as_array()) {
     if (row.size() != kTargetsFields) {
-      throw web::json::json_exception("targets row of another length");
+      throw web::json::json_exception(
+          "targets row has the wrong number of fields");
     }
-    table.push_back(
-        {row.at(0).as_string(),
-         JudgedBy{Integer(row.at(1)), Integer(row.at(2)), Integer(row.at(3)),
-                  Integer(row.at(4)), Integer(row.at(5))}});
+    table.push_back({row.at(0).as_string(),
+                     AppliedTargets{Integer(row.at(1)), Integer(row.at(2)),
+                                    Integer(row.at(3)), Integer(row.at(4)),
+                                    Integer(row.at(5))}});
   }
   return table;
 }
@@ -125,7 +127,8 @@
   for (const value& row : rows.as_array()) {
     const auto index = static_cast<std::size_t>(Integer(row.at(0)));
     if (row.size() != kCellFields || index >= table.size()) {
-      throw web::json::json_exception("cell of another length or targets");
+      throw web::json::json_exception(
+          "cell has the wrong number of fields or an invalid targets index");
     }
     const TargetsRow& targets = table[index];
     cells[{Integer(row.at(1)), targets.first, targets.second}] +=
--- a/tests/burn/report_format_test.cc
+++ b/tests/burn/report_format_test.cc
@@ -1,4 +1,5 @@
-// The three formats say the same, and the page stands by itself.
+// Tests that the three formats report the same data, and that the HTML page is
+// self-contained.
 
 #include "src/burn/report_format.h"
 
@@ -8,9 +9,9 @@
 // NOTE: defines a macro U that GoogleTest's headers must not see.
 #include <cpprest/json.h>
 
-#include "src/burn/judgement.h"
 #include "src/burn/report_builder.h"
 #include "src/burn/report_writers.h"
+#include "src/burn/target_evaluation.h"
 
 namespace medlarspread::burn {
 namespace {
@@ -34,20 +35,20 @@
   return counts;
 }
 
-// 100,000 good requests a while ago, 400 bad and 600 good ones in this hour,
-// and a VM that was lost half an hour ago.
+// 100,000 good requests earlier, 400 bad and 600 good ones in this hour, and a
+// VM that was lost half an hour ago.
 ReportInput MakeInput() {
   ReportInput input;
   input.reporting_vm = "entry-1";
   input.now_wall_ms = kNowMs;
   input.longest_request = base::Milliseconds(1'000);
-  const JudgedBy judged_by{3, 91'000, 980'000, 10'000, 1'000};
+  const AppliedTargets applied_targets{3, 91'000, 980'000, 10'000, 1'000};
   Segment segment;
   segment.writer = {"entry-1", 5};
   segment.range = {kNowMs - 600'000, kNowMs};
-  segment.cells[{kNowMinute - 600, "desk<1>", judged_by}] =
+  segment.cells[{kNowMinute - 600, "desk<1>", applied_targets}] =
       MakeCounts(100'000, 100'000);
-  segment.cells[{kNowMinute - 1, "desk<1>", judged_by}] =
+  segment.cells[{kNowMinute - 1, "desk<1>", applied_targets}] =
       MakeCounts(1'000, 600);
   input.segments["burn/raw/a/entry-1/5/1/0"] = segment;
   Segment lost;
--- a/tests/burn/segment_test.cc
+++ b/tests/burn/segment_test.cc
@@ -1,4 +1,5 @@
-// What is stored is read back as it was, and damage is noticed.
+// Tests that segments and keys survive encoding and decoding, and that damaged
+// values are rejected.
 
 #include "src/burn/segment.h"
 
@@ -14,8 +15,8 @@
   return *rc::gen::inRange<std::int64_t>(0, std::int64_t{1} << 52);
 }
 
-// Names of VMs are plain ASCII by the settings; quotes must survive all the
-// same.
+// The settings restrict VM names to plain ASCII; quotes must survive encoding
+// nevertheless.
 std::string AnyName() {
   return *rc::gen::container<std::string>(
       rc::gen::elementOf(std::string("ab1-._\"\\/ ")));
@@ -33,9 +34,9 @@
   segment.is_after_seal = *rc::gen::arbitrary<bool>();
   segment.clock_step_ms = AnyNumber();
   for (int i = *rc::gen::inRange(0, 5); i > 0; --i) {
-    const JudgedBy judged_by{AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber(),
-                             AnyNumber()};
-    segment.cells[{AnyNumber(), std::to_string(i % 2), judged_by}] = {
+    const AppliedTargets applied_targets{AnyNumber(), AnyNumber(), AnyNumber(),
+                                         AnyNumber(), AnyNumber()};
+    segment.cells[{AnyNumber(), std::to_string(i % 2), applied_targets}] = {
         AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber(),
         AnyNumber(), AnyNumber(), AnyNumber(), AnyNumber()};
     segment.gaps.push_back(
