--- a/src/base/ablation.h
+++ b/src/base/ablation.h
@@ -1,5 +1,5 @@
-// Leaves one mechanism out, to measure what it is worth. For measuring only: a
-// daemon that serves callers uses all of them.
+// Ablation: switches one mechanism off to measure its effect. For measurements
+// only; a daemon in production uses all of them.
 
 #ifndef MEDLARSPREAD_BASE_ABLATION_H_
 #define MEDLARSPREAD_BASE_ABLATION_H_
@@ -9,39 +9,41 @@
 namespace medlarspread::base {
 
 enum class Mechanism {
-  // Stands for none.
+  // No mechanism is switched off.
   kNothing,
-  // A second send of a shard whose reply is overdue.
+  // Hedging: a second send of a shard request whose reply is overdue.
   kSecondSends,
-  // Connections that are opened ahead of second sends.
+  // Connections opened in advance for second sends.
   kPreparedConnections,
-  // Replies of losers that are waited for a moment, to learn from them.
+  // Waiting briefly for the slower reply of a hedged pair, to record its
+  // latency.
   kLingering,
-  // Another send to a leaf that refused for want of room.
+  // Retries after a leaf refused a request because it was full.
   kRepeats,
-  // In the choice of a leaf: how slow it was of late.
+  // Leaf selection: the leaf's recent latency.
   kSlowness,
-  // That it stands still.
+  // Leaf selection: whether the leaf is stalled.
   kStalls,
-  // Its share of failures.
+  // Leaf selection: the leaf's failure rate.
   kFailureShare,
-  // Going round it for a while after a failure.
+  // Leaf selection: avoiding a leaf for a while after a failure.
   kAvoidance,
-  // That it started a moment ago.
+  // Leaf selection: whether the leaf started recently.
   kColdStarts,
-  // That a connection has to be opened first.
+  // Leaf selection: the cost of opening a connection first.
   kConnectCost,
-  // What it has in work for this daemon.
+  // Leaf selection: this daemon's requests in flight at the leaf.
   kInFlight,
-  // The window of requests at a late leaf.
+  // The limit on requests in flight at a leaf that replies late.
   kLeafPace,
-  // Closing connections that the last moments did not need.
+  // Closing connections that were not needed recently.
   kSpareConnections,
-  // Refusing what the admitted requests leave no time for.
+  // Refusing requests that can't meet their deadline behind those admitted
+  // before them.
   kBacklogGate,
-  // Handing parts of requests to daemons near the leaves.
+  // Handing parts of requests over to daemons near the leaves.
   kAggregators,
-  // Counting what other daemons tell of the leaves.
+  // Using other daemons' reports about the leaves.
   kSharedReports,
 };
 
@@ -65,6 +67,7 @@
     {Mechanism::kSharedReports, "shared_reports"},
 }}};
 
+// Tells which mechanisms are switched on: all but at most one.
 class Ablation {
  public:
   Ablation() = default;
--- a/src/base/boot_timer.h
+++ b/src/base/boot_timer.h
@@ -1,11 +1,11 @@
-// A timer that goes by the clock that deadlines and ages go by, which also
-// counts while the VM is suspended.
+// A timer on the clock that deadlines and ages use, which also advances while
+// the VM is suspended.
 //
-// With a timer that leaves a suspension out, all that was due in it is done
-// later by its whole length: a request that had 0.9 s left when its VM was
-// suspended for five is answered 0.9 s after the VM is back, to a caller who
-// left long ago, and a belief that should have ended is acted upon meanwhile.
-// With this one it is done within kLongestWait of the VM's return.
+// A timer that ignores a suspension fires late by the length of the suspension:
+// a request that had 0.9 s left when its VM was suspended for 5 s would be
+// answered 0.9 s after the VM resumes, when the caller has long given up, and
+// state that should have expired would still be used until then. This timer
+// fires at most kLongestWait after the VM resumes.
 
 #ifndef MEDLARSPREAD_BASE_BOOT_TIMER_H_
 #define MEDLARSPREAD_BASE_BOOT_TIMER_H_
@@ -19,13 +19,14 @@
 
 namespace medlarspread::base {
 
-// The time of Clock::Now() as the standard library's clocks have it.
+// Clock::Now() with the interface of a standard library clock.
 struct BootClock {
   using duration = Duration;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  // NOLINTNEXTLINE(readability-identifier-naming): the name that clocks have.
+  // NOLINTNEXTLINE(readability-identifier-naming): the name that std::chrono
+  // requires.
   static constexpr bool is_steady = true;
 
   static time_point now() {
@@ -33,12 +34,12 @@
   }
 };
 
-// The kernel's timers don't count a suspension either: nobody sleeps longer
-// than this without a look at the clock. Four wake-ups a second of an idle
-// thread cost some 0.01% of a core.
+// The kernel's timers don't count a suspension either, so no wait is longer
+// than this before the clock is read again. The four wake-ups a second cost an
+// idle thread some 0.01% of a core.
 constexpr Duration kLongestWait = Milliseconds(250);
 
-// How long to sleep until the clock is looked at again.
+// Wait traits for basic_waitable_timer that limit each wait to kLongestWait.
 template <typename AnyClock>
 struct ShortWaits {
   static typename AnyClock::duration to_wait_duration(
--- a/src/base/clock.cc
+++ b/src/base/clock.cc
@@ -1,4 +1,4 @@
-// The real clocks and the manual one behind base::Clock.
+// Implements base::Clock with the system clocks and with manual time.
 
 #include "src/base/clock.h"
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,6 +1,6 @@
-// Time. Expiry and latency use a monotonic clock that also counts while the VM
-// is suspended; the wall clock serves only for display and for the age of
-// identifiers. Tests drive both by hand through ManualTime.
+// Clocks. Expiry and latency use a monotonic clock that also advances while the
+// VM is suspended; the wall clock is used only for display and for the age of
+// identifiers. Tests control both through ManualTime.
 
 #ifndef MEDLARSPREAD_BASE_CLOCK_H_
 #define MEDLARSPREAD_BASE_CLOCK_H_
@@ -15,7 +15,7 @@
 
 using Duration = std::chrono::microseconds;
 
-// Microseconds since the VM started, suspension included.
+// Microseconds since the VM booted, including time suspended.
 struct MonotonicTime {
   std::int64_t microseconds = 0;
 
@@ -39,13 +39,13 @@
   return std::chrono::milliseconds(count);
 }
 
-// Milliseconds of `duration` as a number with a fraction, for reports.
+// `duration` in fractional milliseconds, for reports.
 inline double ToMilliseconds(Duration duration) {
   constexpr double kMicrosecondsPerMillisecond = 1000.0;
   return static_cast<double>(duration.count()) / kMicrosecondsPerMillisecond;
 }
 
-// Time that moves only when a test moves it. Safe to read from any thread.
+// Time that advances only when a test advances it. May be read from any thread.
 class ManualTime {
  public:
   ManualTime(std::int64_t monotonic_microseconds,
@@ -66,16 +66,16 @@
   const std::int64_t initial_microseconds_ = monotonic_microseconds_.load();
 };
 
-// A cheap copyable handle to the time of this process.
+// A cheaply copyable handle to the system clocks or to a ManualTime.
 class Clock {
  public:
-  // The real clocks of the VM.
+  // Uses the system clocks of the VM.
   Clock() = default;
   explicit Clock(std::shared_ptr<ManualTime> manual) : source_(manual) {}
 
   MonotonicTime Now() const;
 
-  // Milliseconds since 1970 by the wall clock; may jump in either direction.
+  // Milliseconds since the Unix epoch; may jump in either direction.
   std::int64_t WallMilliseconds() const;
 
  private:
--- a/src/base/error.cc
+++ b/src/base/error.cc
@@ -1,4 +1,4 @@
-// Name tables and the std::error_category behind base::Error.
+// Name tables and the std::error_category of base::Error.
 
 #include "src/base/error.h"
 
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,6 +1,6 @@
-// Typed errors. Every error names the step of the work at which it arose and
-// the peer (VM, upstream or platform address) that took part, so that a log
-// line or an API answer can be traced to one hop.
+// Typed errors. Every error names the processing step at which it occurred and
+// the peer (VM, upstream or platform address) involved, so that a log line or
+// an API response can be traced to one hop.
 
 #ifndef MEDLARSPREAD_BASE_ERROR_H_
 #define MEDLARSPREAD_BASE_ERROR_H_
@@ -10,8 +10,8 @@
 
 namespace medlarspread::base {
 
-// What went wrong. The values are stable: they appear in logs and API answers
-// by the name in the table of error.cc.
+// The kind of an error. Logs and API responses use the names listed in
+// error.cc, which must stay the same.
 enum class ErrorCode {
   kTimeout = 1,
   kUnreachable,
@@ -34,11 +34,11 @@
   kStopping,
   kUnknownOutcome,
   kInternal,
-  // The request has ended leaves that ran it.
+  // The request is quarantined because it crashed leaves that ran it.
   kQuarantined,
 };
 
-// Where in the work the error arose.
+// The processing step at which an error occurred.
 enum class Step {
   kParse = 1,
   kAdmit,
@@ -67,7 +67,7 @@
 const std::error_category& ErrorCategory();
 std::error_code make_error_code(ErrorCode code);
 
-// One error with its origin. `peer` is empty when no other process took part.
+// An error and its origin. `peer` is empty if no other process was involved.
 struct Error {
   std::error_code code;
   Step step = Step::kParse;
--- a/src/base/json_string.cc
+++ b/src/base/json_string.cc
@@ -1,4 +1,4 @@
-// Escaping and UTF-8 checks behind JsonString, and JsonNumber.
+// JSON string escaping with UTF-8 validation, and number formatting.
 
 #include "src/base/json_string.h"
 
@@ -19,8 +19,8 @@
 constexpr std::uint32_t kFirstSurrogate = 0xD800;
 constexpr std::uint32_t kLastSurrogate = 0xDFFF;
 
-// Number of bytes that a UTF-8 sequence with this first byte has; 0 if a
-// sequence can't begin with it.
+// The length of the UTF-8 sequence that starts with this byte; 0 if the byte
+// can't start a sequence.
 std::size_t SequenceLength(unsigned char first) {
   if (first >= 0xC2 && first <= 0xDF) {
     return 2;
@@ -34,7 +34,7 @@
   return 0;
 }
 
-// Whether the sequence encodes a code point, in its shortest form.
+// Whether the sequence is the shortest encoding of a valid code point.
 bool IsValidSequence(std::string_view bytes) {
   constexpr std::uint32_t kSmallest[] = {0, 0, 0x80, 0x800, 0x10000};
   const auto first = static_cast<unsigned char>(bytes.front());
--- a/src/base/json_string.h
+++ b/src/base/json_string.h
@@ -1,4 +1,5 @@
-// Text and numbers as JSON, for the few places that write JSON by hand.
+// Encodes strings and numbers as JSON, for the few places that write JSON
+// without a library.
 
 #ifndef MEDLARSPREAD_BASE_JSON_STRING_H_
 #define MEDLARSPREAD_BASE_JSON_STRING_H_
@@ -13,7 +14,7 @@
 // always valid JSON on one line.
 std::string JsonString(std::string_view text);
 
-// The shortest text that reads back as exactly `number`, which must be finite.
+// The shortest text that parses back to exactly `number`, which must be finite.
 std::string JsonNumber(double number);
 
 }  // namespace medlarspread::base
--- a/src/base/log.cc
+++ b/src/base/log.cc
@@ -1,5 +1,5 @@
-// Renders log entries and writes them through spdlog, which adds the time and
-// the level and keeps lines whole.
+// Formats log entries and writes them through spdlog, which adds the time and
+// the level and never interleaves lines.
 
 #include "src/base/log.h"
 
@@ -28,7 +28,7 @@
     {LogFormat::kText, "text"},
 }}};
 
-// The library's patterns: %v stands for what RenderFields returns.
+// Patterns of spdlog; %v is replaced by the rendered fields.
 constexpr const char* kJsonPattern =
     R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 constexpr const char* kTextPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
@@ -71,7 +71,7 @@
   if (!entry.request_id.empty()) {
     text += " request_id=" + entry.request_id;
   }
-  // Quoted, so that a message can't start a line of its own.
+  // Quoted and escaped, so that a message can't contain a line break.
   return text + " " + JsonString(entry.message);
 }
 
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,6 +1,6 @@
-// The daemon's log: one line per event on one stream, as JSON or as text, each
-// with the step and the peer it concerns. The level can be changed at any time
-// and from any thread.
+// The daemon's log: one line per event, as JSON or as text, with the processing
+// step and the peer that the event concerns. The level can be changed at any
+// time and from any thread.
 
 #ifndef MEDLARSPREAD_BASE_LOG_H_
 #define MEDLARSPREAD_BASE_LOG_H_
@@ -27,11 +27,11 @@
 struct LogSettings {
   LogLevel level = LogLevel::kInfo;
   LogFormat format = LogFormat::kJson;
-  // The name of this VM, on every line.
+  // The name of this VM, written on every line.
   std::string vm;
 };
 
-// One event. Empty fields are left out of the line.
+// One event. Empty fields are omitted from the line.
 struct LogEntry {
   LogLevel level = LogLevel::kInfo;
   Step step = Step::kParse;
@@ -40,17 +40,17 @@
   std::string message{};
 };
 
-// A cheap copyable handle; copies share the level. Safe to use from any thread.
+// A cheaply copyable handle; copies share the level. Thread-safe.
 class Log {
  public:
-  // Discards every entry; for tests that don't look at the log.
+  // Discards every entry; for tests that don't check the log.
   Log() = default;
-  // `stream` must outlive every copy. Lines are written and flushed whole.
+  // `stream` must outlive every copy. Each line is written whole and flushed.
   Log(LogSettings settings, std::ostream& stream);
 
   void Write(const LogEntry& entry) const;
-  // A failure that the daemon copes with: logged as a warning with the error's
-  // own step and peer. `message` says what follows from it.
+  // Logs a failure that the daemon recovers from, as a warning with the error's
+  // step and peer. `message` describes the consequence.
   void DidFail(const Error& error,
                std::string_view message,
                std::string_view request_id = {}) const;
--- a/src/base/loop_lag.cc
+++ b/src/base/loop_lag.cc
@@ -1,4 +1,4 @@
-// One measurement at a time.
+// Measures the loop lag with one probe task at a time.
 
 #include "src/base/loop_lag.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// An older measurement says nothing of now.
+// Older measurements are ignored: they no longer reflect the current load.
 constexpr Duration kLongestUse = Milliseconds(200);
 
 }  // namespace
@@ -27,7 +27,7 @@
     lag = std::max(lag, now - state_->tick_due);
   }
   if (state_->began != MonotonicTime{}) {
-    // The running one has taken this long already.
+    // The lag is at least the time that the pending probe has waited so far.
     return std::max(lag, now - state_->began);
   }
   state_->began = now;
--- a/src/base/loop_lag.h
+++ b/src/base/loop_lag.h
@@ -1,11 +1,11 @@
-// How long work waits for a thread that runs an event loop.
+// Estimates the lag of an event loop: how long work waits for its thread.
 //
-// While requests arrive, a small task goes round the loop; the time until it
-// runs is what a request that became readable meanwhile has waited before it
-// was read. A busy small VM reads requests tens of milliseconds late, and its
-// callers' deadlines have been running all the time.
+// While requests arrive, a probe task is posted to the loop. The time until it
+// runs approximates how long a request waited between becoming readable and
+// being read. A busy small VM reads requests tens of milliseconds late, and
+// that delay already counts against the callers' deadlines.
 //
-// Used on the thread of the loop.
+// Must be used on the thread of the loop.
 
 #ifndef MEDLARSPREAD_BASE_LOOP_LAG_H_
 #define MEDLARSPREAD_BASE_LOOP_LAG_H_
@@ -19,21 +19,22 @@
 
 class LoopLag {
  public:
-  // Queues a task behind all that wait for the thread.
+  // Queues a task after all tasks that wait for the thread.
   using Post = std::function<void(std::function<void()>)>;
 
   LoopLag(Clock clock, Post post);
 
-  // An estimate for work that begins now; starts the next measurement.
+  // The estimated lag of work that starts now. Starts a new measurement unless
+  // one is running.
   Duration Estimate();
-  // Something that the loop does at regular times is due then. If it is late
-  // the thread stood still, as on a VM that was frozen, and whatever it reads
-  // next has waited. Called when it was done, for the next time.
+  // Announces when the next run of a periodic task of the loop is due; the task
+  // calls this each time it has run. A late run means that the thread was
+  // blocked, as on a frozen VM, and that whatever it reads next has waited too.
   void ExpectTick(MonotonicTime due);
 
  private:
   struct State {
-    // When the running measurement began; zero if none runs.
+    // When the running measurement started; zero if none is running.
     MonotonicTime began;
     Duration last{};
     MonotonicTime measured;
@@ -43,7 +44,7 @@
 
   const Clock clock_;
   const Post post_;
-  // Shared with the task that goes round.
+  // Shared with the probe task.
   const std::shared_ptr<State> state_ = std::make_shared<State>();
 };
 
--- a/src/base/name_table.h
+++ b/src/base/name_table.h
@@ -1,5 +1,5 @@
-// A constant table that pairs the values of an enum class with their names,
-// so that logs, settings and wire texts share one spelling.
+// A constant table of the values of an enum class and their names, so that
+// logs, settings and wire formats use the same spelling.
 
 #ifndef MEDLARSPREAD_BASE_NAME_TABLE_H_
 #define MEDLARSPREAD_BASE_NAME_TABLE_H_
@@ -26,7 +26,7 @@
     return "invalid";
   }
 
-  // The value called `name`, or nothing.
+  // The value called `name`, or std::nullopt if the table does not list it.
   constexpr std::optional<Enum> ValueOf(std::string_view name) const {
     for (const auto& row : rows) {
       if (name == row.second) {
--- a/src/base/nearest_name.cc
+++ b/src/base/nearest_name.cc
@@ -1,4 +1,4 @@
-// Levenshtein distance behind NearestName.
+// NearestName by Levenshtein distance.
 
 #include "src/base/nearest_name.h"
 
@@ -11,8 +11,8 @@
 namespace {
 
 std::size_t EditDistance(std::string_view left, std::string_view right) {
-  // Row of the usual matrix: distances from a prefix of `left` to each prefix
-  // of `right`.
+  // The current row of the Levenshtein matrix: the distances from a prefix of
+  // `left` to each prefix of `right`.
   std::vector<std::size_t> row(right.size() + 1);
   std::iota(row.begin(), row.end(), 0);
   for (std::size_t i = 1; i <= left.size(); ++i) {
@@ -33,8 +33,8 @@
 
 std::string NearestName(std::string_view name,
                         const std::vector<std::string>& candidates) {
-  // More than half of the letters changed is another word, not a misspelling.
-  // The length is bounded because the cost grows with it.
+  // A candidate that differs in more than half of the letters is another word,
+  // not a misspelling. The length is limited because the cost grows with it.
   constexpr std::size_t kMaxLength = 64;
   if (name.size() > kMaxLength) {
     return "";
--- a/src/base/nearest_name.h
+++ b/src/base/nearest_name.h
@@ -1,5 +1,5 @@
-// Finds the name that a misspelt one was probably meant to be, for errors that
-// say "did you mean".
+// Finds the most likely intended name for a misspelt one, for "did you mean"
+// hints in error messages.
 
 #ifndef MEDLARSPREAD_BASE_NEAREST_NAME_H_
 #define MEDLARSPREAD_BASE_NEAREST_NAME_H_
@@ -11,7 +11,7 @@
 namespace medlarspread::base {
 
 // The entry of `candidates` with the smallest edit distance to `name`, or an
-// empty string if none is near enough to be a likely misspelling.
+// empty string if none is close enough to be a likely misspelling.
 std::string NearestName(std::string_view name,
                         const std::vector<std::string>& candidates);
 
--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -1,4 +1,4 @@
-// Lines, a bounded buffer and write().
+// Line buffering, the bounded backlog and the non-blocking write().
 
 #include "src/base/nonblocking_output.h"
 
@@ -46,7 +46,7 @@
     if (dropped_untold_ > 0) {
       waiting_ += R"({"level":"warning","step":"log","message":")" +
                   std::to_string(dropped_untold_) +
-                  " lines were dropped, since the reader is slow\"}\n";
+                  " lines were dropped because the reader is too slow\"}\n";
       dropped_untold_ = 0;
     }
     waiting_ += line_;
@@ -58,7 +58,7 @@
   while (!waiting_.empty()) {
     const ssize_t written =
         ::write(descriptor_, waiting_.data(), waiting_.size());
-    // Full, or gone: what waits is tried again with the next line.
+    // The pipe is full or the reader is gone: retried with the next line.
     if (written <= 0) {
       return;
     }
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -1,8 +1,8 @@
-// A stream buffer that never waits for its reader.
+// A stream buffer that writes to a file descriptor without ever blocking.
 //
-// Lines that the reader has not taken yet are kept up to a bound; beyond it
-// whole lines are dropped and counted, and the count is written as soon as
-// there is room. So a log that nobody reads can't hold a request up.
+// Lines that can't be written yet are buffered up to a limit. Beyond it whole
+// lines are dropped and counted, and the count is written once there is space
+// again. So a log whose reader is stuck can't delay a request.
 
 #ifndef MEDLARSPREAD_BASE_NONBLOCKING_OUTPUT_H_
 #define MEDLARSPREAD_BASE_NONBLOCKING_OUTPUT_H_
@@ -14,10 +14,10 @@
 
 namespace medlarspread::base {
 
-// Not thread-safe; the logger that writes to it takes turns.
+// Not thread-safe; the logger serializes its writes.
 class NonblockingOutput : public std::streambuf {
  public:
-  // Makes `descriptor` non-blocking. Keeps at most `most_bytes` back.
+  // Makes `descriptor` non-blocking. Buffers at most `most_bytes`.
   explicit NonblockingOutput(int descriptor,
                              std::size_t most_bytes = 256 << 10);
 
@@ -26,7 +26,7 @@
  protected:
   int_type overflow(int_type letter) override;
   std::streamsize xsputn(const char* text, std::streamsize size) override;
-  // Takes the line that was written so far, and writes what it can.
+  // Ends the current line and writes as much as the descriptor accepts.
   int sync() override;
 
  private:
@@ -36,9 +36,10 @@
   const int descriptor_;
   const std::size_t most_bytes_;
   std::string line_;
-  // Whole lines that wait for the reader, the first perhaps begun.
+  // Whole lines not written yet; the first may be written in part.
   std::string waiting_;
   std::int64_t dropped_ = 0;
+  // Dropped lines that no line of the output has reported yet.
   std::int64_t dropped_untold_ = 0;
 };
 
--- a/src/base/overloaded.h
+++ b/src/base/overloaded.h
@@ -1,4 +1,4 @@
-// One visitor for std::visit out of several lambdas.
+// Combines several lambdas into one visitor for std::visit.
 
 #ifndef MEDLARSPREAD_BASE_OVERLOADED_H_
 #define MEDLARSPREAD_BASE_OVERLOADED_H_
--- a/src/base/random.cc
+++ b/src/base/random.cc
@@ -1,4 +1,4 @@
-// A mutex around one 64-bit Mersenne Twister.
+// A 64-bit Mersenne Twister protected by a mutex.
 
 #include "src/base/random.h"
 
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,5 +1,5 @@
-// The random source that decisions draw from. It is seeded explicitly, so that
-// a test or a golden session replays the same choices.
+// The random number generator that decisions use. It is seeded explicitly, so
+// that a test or a golden session can replay the same choices.
 
 #ifndef MEDLARSPREAD_BASE_RANDOM_H_
 #define MEDLARSPREAD_BASE_RANDOM_H_
@@ -11,12 +11,12 @@
 
 namespace medlarspread::base {
 
-// A seed that nobody can predict, so that identifiers of different VMs do not
-// meet. It is not logged: nothing that it decides needs to be replayed on a
-// live VM.
+// An unpredictable seed, so that the identifiers of different VMs don't
+// collide. It is not logged, because no random choice of a live VM needs to be
+// replayed.
 std::uint64_t MakeUnpredictableSeed();
 
-// Safe to use from any thread.
+// Thread-safe.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
--- a/src/base/rendezvous.cc
+++ b/src/base/rendezvous.cc
@@ -19,7 +19,7 @@
     weighted.emplace_back(XXH64(name.data(), name.size(), seed),
                           std::move(name));
   }
-  // Equal weights are ordered by name, so that all daemons still agree.
+  // Ties are broken by name, so that all daemons agree.
   std::sort(weighted.begin(), weighted.end(), std::greater<>());
   std::vector<std::string> ranked;
   ranked.reserve(weighted.size());
--- a/src/base/rendezvous.h
+++ b/src/base/rendezvous.h
@@ -1,6 +1,6 @@
-// Rendezvous hashing: every daemon that sees the same candidates ranks them for
-// a key in the same order, without talking to the others. Roles are given out
-// this way; when a candidate goes, only its own keys move.
+// Rendezvous hashing: every daemon that knows the same candidates ranks them
+// for a key in the same order, without coordination. Roles are assigned this
+// way; when a candidate leaves, only its own keys move.
 
 #ifndef MEDLARSPREAD_BASE_RENDEZVOUS_H_
 #define MEDLARSPREAD_BASE_RENDEZVOUS_H_
@@ -11,7 +11,7 @@
 
 namespace medlarspread::base {
 
-// The candidates ordered by their weight for `key`, highest first.
+// The candidates by descending weight for `key`.
 std::vector<std::string> RankByRendezvous(std::string_view key,
                                           std::vector<std::string> candidates);
 
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,4 +1,4 @@
-// The outcome of an operation that can fail: a value or a base::Error.
+// The result of an operation that can fail: a value or a base::Error.
 
 #ifndef MEDLARSPREAD_BASE_RESULT_H_
 #define MEDLARSPREAD_BASE_RESULT_H_
@@ -15,7 +15,7 @@
 template <typename T>
 class [[nodiscard]] Result {
  public:
-  // Implicit, so that `return value;` and `return error;` both read plainly.
+  // Implicit, so that functions can `return value;` and `return error;`.
   Result(T value) : state_(std::move(value)) {}      // NOLINT
   Result(Error error) : state_(std::move(error)) {}  // NOLINT
 
@@ -38,7 +38,7 @@
   std::variant<T, Error> state_;
 };
 
-// The value of a Result that carries nothing but success.
+// The value of a Result that has no value on success.
 struct Done {};
 using Status = Result<Done>;
 
--- a/src/base/task_runner.cc
+++ b/src/base/task_runner.cc
@@ -1,4 +1,4 @@
-// Asio strands and the manual scheduler behind base::TaskRunner.
+// Implements base::TaskRunner with Asio strands and the manual scheduler.
 
 #include "src/base/task_runner.h"
 
@@ -69,8 +69,9 @@
   auto timer = std::make_shared<BootTimer>(*threads.context);
   auto cancelled = std::make_shared<std::atomic<bool>>(false);
   timer->expires_after(delay);
-  // The handler holds the timer alive; it runs on the strand, so a Cancel()
-  // from the same sequence always wins over a handler not yet run.
+  // The handler keeps the timer alive. It runs on the strand, so a Cancel() on
+  // the same sequence always takes effect before a handler that has not run
+  // yet.
   timer->async_wait(boost::asio::bind_executor(
       threads.strand, [timer, cancelled, task = std::move(task)](
                           const boost::system::error_code& error) {
@@ -78,8 +79,8 @@
           task();
         }
       }));
-  // NOTE: a timer is not thread-safe, so the cancel is posted to the
-  // strand; the flag makes it effective at once.
+  // NOTE: an Asio timer is not thread-safe, so its cancellation is posted to
+  // the strand; the flag makes Cancel() effective at once.
   return Timer([timer, cancelled, strand = threads.strand] {
     cancelled->store(true);
     boost::asio::post(strand, [timer] { timer->cancel(); });
--- a/src/base/task_runner.h
+++ b/src/base/task_runner.h
@@ -1,7 +1,6 @@
-// Where work runs. A TaskRunner executes tasks one after another, in order,
-// never two at once. On a daemon it is a sequence (strand) over the control
-// thread or over the traffic threads; in tests it is a manual queue whose time
-// the test moves.
+// A TaskRunner executes tasks one at a time and in order. In a daemon it is a
+// sequence (strand) on the control thread or on the traffic threads; in tests
+// it is a manual queue whose time the test advances.
 
 #ifndef MEDLARSPREAD_BASE_TASK_RUNNER_H_
 #define MEDLARSPREAD_BASE_TASK_RUNNER_H_
@@ -23,9 +22,9 @@
 
 using Task = std::function<void()>;
 
-// A timer that was started by TaskRunner::After. Dropping the handle does not
-// stop the timer. NOTE: a task that is already queued may still run after
-// Cancel() from another sequence; from its own sequence it never does.
+// A handle to a timer that TaskRunner::After started. Destroying the handle
+// does not stop the timer. NOTE: a task that is already queued may still run
+// after a Cancel() on another sequence, but never after a Cancel() on its own.
 class Timer {
  public:
   Timer() = default;
@@ -36,7 +35,8 @@
   Task cancel_;
 };
 
-// The queue of all ManualRunner-backed sequences of one test. Single-threaded.
+// The task queue of all sequences of one test, with manual time.
+// Single-threaded.
 class ManualScheduler {
  public:
   explicit ManualScheduler(std::shared_ptr<ManualTime> time)
@@ -46,21 +46,21 @@
   void Remove(std::uint64_t id);
   MonotonicTime Now() const { return {time_->monotonic_microseconds()}; }
 
-  // Runs everything that is due now.
+  // Runs all tasks that are due now.
   void RunReady();
-  // Moves time forward by `duration`, running each task at its due time.
+  // Advances time by `duration` and runs each task at its due time.
   void Advance(Duration duration);
 
  private:
   std::shared_ptr<ManualTime> time_;
   std::uint64_t next_id_ = 1;
-  // Ordered by due time, then by insertion: that makes runs repeatable.
+  // Ordered by due time, then by insertion, so that runs are reproducible.
   std::map<std::pair<std::int64_t, std::uint64_t>, Task> tasks_;
 };
 
 class TaskRunner {
  public:
-  // A new sequence over the threads that run `context`.
+  // A new sequence on the threads that run `context`.
   explicit TaskRunner(boost::asio::io_context& context);
   explicit TaskRunner(std::shared_ptr<ManualScheduler> scheduler);
 
@@ -68,7 +68,7 @@
   void Post(Task task) const;
   // Runs `task` on this sequence once `delay` has passed.
   Timer After(Duration delay, Task task) const;
-  // Another sequence over the same threads.
+  // A new sequence on the same threads.
   TaskRunner MakeSequence() const;
 
  private:
--- a/tests/base/boot_timer_test.cc
+++ b/tests/base/boot_timer_test.cc
@@ -1,4 +1,4 @@
-// What is due in a suspension is done when the VM is back, not later.
+// A timer that expires during a suspension fires as soon as the VM resumes.
 
 #include "src/base/boot_timer.h"
 
@@ -10,7 +10,8 @@
 namespace medlarspread::base {
 namespace {
 
-// The real clock and a suspension that only it has counted.
+// The system clock plus a simulated suspension, which the kernel's timers don't
+// see.
 struct ClockWithSuspension : BootClock {
   using time_point = std::chrono::time_point<ClockWithSuspension>;
 
@@ -24,8 +25,8 @@
 
 std::atomic<std::int64_t> ClockWithSuspension::suspended_us = 0;
 
-// A timer of a minute, and a suspension of a minute: no test waits that long,
-// and a timer of the steady clock would.
+// The timer and the simulated suspension both last a minute. A timer on the
+// steady clock would wait for the whole minute.
 TEST(BootTimerTest, ASuspensionCounts) {
   ClockWithSuspension::suspended_us = 0;
   boost::asio::io_context context;
--- a/tests/base/error_test.cc
+++ b/tests/base/error_test.cc
@@ -1,4 +1,4 @@
-// Errors print the step and the peer at which they arose.
+// Errors print the step and the peer at which they occurred.
 
 #include "src/base/error.h"
 
--- a/tests/base/log_test.cc
+++ b/tests/base/log_test.cc
@@ -1,4 +1,4 @@
-// Log lines: their fields, their levels, and that no text can break a line.
+// Log lines: their fields, their levels, and that no message can break a line.
 
 #include <sstream>
 
--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -1,3 +1,5 @@
+// The lag is measured with a probe task and by late ticks, and expires soon.
+
 #include "src/base/loop_lag.h"
 
 #include <deque>
@@ -52,8 +54,8 @@
   EXPECT_EQ(lag_.Estimate(), Duration{});
 }
 
-// A frozen VM wakes with requests that are as old as the freeze was long; the
-// tick may run before or after they are read.
+// When a frozen VM resumes, its pending requests may have waited as long as the
+// freeze lasted; the tick may run before or after they are read.
 TEST_F(LoopLagTest, ALateTickShowsThatTheThreadStoodStill) {
   lag_.ExpectTick({2'000'000});
   time_->Advance(Milliseconds(4'000));
@@ -62,7 +64,7 @@
   lag_.ExpectTick({6'000'000});
   EXPECT_EQ(lag_.Estimate(), Milliseconds(3'000));
   RunAll();
-  // It is forgotten a moment later.
+  // The measurement expires soon after.
   time_->Advance(Milliseconds(500));
   EXPECT_EQ(lag_.Estimate(), Duration{});
 }
--- a/tests/base/nonblocking_output_test.cc
+++ b/tests/base/nonblocking_output_test.cc
@@ -1,4 +1,5 @@
-// NonblockingOutput against a reader that does not read.
+// NonblockingOutput with a reader that doesn't read: no write blocks, and
+// dropped lines are reported.
 
 #include "src/base/nonblocking_output.h"
 
--- a/tests/base/rendezvous_test.cc
+++ b/tests/base/rendezvous_test.cc
@@ -1,4 +1,5 @@
-// Ranking is stable, complete, and moves only the keys of a lost candidate.
+// The ranking is stable and complete, and removing a candidate moves only its
+// own keys.
 
 #include "src/base/rendezvous.h"
 
--- a/tests/base/task_runner_test.cc
+++ b/tests/base/task_runner_test.cc
@@ -1,4 +1,5 @@
-// Sequences keep order, timers fire in due order and can be cancelled.
+// Sequences run tasks in order; timers fire in order of due time and can be
+// cancelled.
 
 #include "src/base/task_runner.h"
 
