--- a/src/base/ablation.h
+++ b/src/base/ablation.h
@@ -15,7 +15,7 @@
   kSecondSends,
   // Connections opened in advance for second sends.
   kPreparedConnections,
-  // Waiting briefly for the slower reply of a hedged pair, to record its
+  // Waiting briefly for replies that are no longer needed, to record their
   // latency.
   kLingering,
   // Retries after a leaf refused a request because it was full.
