--- a/src/settings/daemon_settings.h
+++ b/src/settings/daemon_settings.h
@@ -1,6 +1,6 @@
-// The settings of one daemon, as typed values: one nested struct per section of
-// the INI file. docs/SETTINGS.md describes each; key_table.cc holds their
-// ranges. The initial values here are the defaults.
+// The settings of one daemon as typed values, with one nested struct per
+// section of the INI file. docs/SETTINGS.md describes each setting, and
+// key_table.cc defines its range. The member initializers are the defaults.
 
 #ifndef MEDLARSPREAD_SETTINGS_DAEMON_SETTINGS_H_
 #define MEDLARSPREAD_SETTINGS_DAEMON_SETTINGS_H_
@@ -16,8 +16,8 @@
 
 namespace medlarspread::settings {
 
-// What callers send: queries in the product's own JSON, or opaque requests that
-// are passed on by routes, as on the users' platform.
+// What callers send: queries in this system's own JSON format, or opaque
+// requests that are forwarded by routes, as on the users' platform.
 enum class CallerInterface { kQueries, kOpaque };
 
 inline constexpr base::NameTable<CallerInterface, 2> kCallerInterfaceNames{{{
@@ -30,30 +30,30 @@
   std::string name;
   std::string region;
   std::string failure_domain;
-  // The region of each failure domain, "domain=region" with commas between.
+  // The region of each failure domain, as comma-separated domain=region pairs.
   std::string regions;
-  // Its part of a core, 1 for a whole one.
+  // The share of a CPU core that the VM has; 1 is a whole core.
   double processor_share = 1.0;
 };
 
-// The listener for callers.
+// The interface for callers.
 struct CallersSettings {
   CallerInterface interface = CallerInterface::kQueries;
-  // Where the balancer asks whether this daemon is ready; only with the opaque
+  // Where the load balancer's readiness probes arrive; only with the opaque
   // interface.
   std::string readiness_address;
-  // "ip:port", as all addresses here.
+  // "ip:port", like all addresses in these settings.
   std::string address;
   std::size_t max_body_bytes = 1 << 20;
   base::Duration body_timeout = base::Milliseconds(5000);
-  // Requests in flight at once; more are refused.
+  // The limit on requests in flight; requests above it are refused.
   int max_requests = 2000;
 };
 
-// The listener of the administration API.
+// The administration API.
 struct OperatorsSettings {
   std::string address;
-  // LoadSettings fills this in from `token_file` if that is set.
+  // LoadSettings reads this from `token_file` if that is set.
   std::string token;
   std::string token_file;
 };
@@ -61,13 +61,13 @@
 // Links to the other daemons.
 struct PeersSettings {
   std::string address;
-  // Where requests that other daemons hand over arrive; empty to take none.
+  // Where this daemon receives requests that other daemons hand over; empty to
+  // receive none.
   std::string query_address;
-  // Addresses of peers that may be asked before any is known, with commas
-  // between.
+  // Comma-separated addresses of peers to contact before any other is known.
   std::string seeds;
   std::size_t max_frame_bytes = 4 << 20;
-  // Bytes waiting to be sent to one peer; above it messages to it are refused.
+  // The limit on bytes queued for one peer; messages above it are refused.
   std::size_t max_queue_bytes = 16 << 20;
 };
 
@@ -82,7 +82,7 @@
 };
 
 struct StopSettings {
-  // A planned stop ends by then even if requests are still in flight.
+  // A planned stop ends within this time even if requests are still in flight.
   base::Duration bound = base::Milliseconds(30000);
 };
 
@@ -98,23 +98,24 @@
 };
 
 struct TargetsSettings {
-  // Daemons of a failure domain that read the targets from the platform; the
-  // others learn them from their peers.
+  // The number of daemons per failure domain that read the targets from the
+  // platform; the others get them from their peers.
   int readers_per_failure_domain = 2;
 };
 
 struct ClaimsSettings {
-  // The least time between two writes of one key; claims that arrive meanwhile
-  // are written together.
+  // The minimum interval between two writes of a key; claims that arrive in
+  // between are written as one batch.
   base::Duration group = base::Milliseconds(25);
 };
 
 struct BurnSettings {
+  // The mean interval between two writes of this VM's counts to the store.
   base::Duration flush = std::chrono::minutes(1);
 };
 
-// Where shard requests wait for a leaf. All but the first are baselines that
-// the benchmarks compare it with.
+// Where shard requests are queued for a leaf. The first policy is the one for
+// production; the others are baselines for benchmarks.
 enum class RoutingPolicy { kQueueOwner, kFixedShare, kRandomReplica };
 
 inline constexpr base::NameTable<RoutingPolicy, 3> kRoutingPolicyNames{{{
@@ -123,31 +124,36 @@
     {RoutingPolicy::kRandomReplica, "random_replica"},
 }}};
 
-// Protective limits of the system, not weights that operators tune.
+// Safety limits of the system; operators don't need to tune them.
 struct RoutingSettings {
   RoutingPolicy policy = RoutingPolicy::kQueueOwner;
-  // Into how many bundles the key space of a collection is cut; each bundle has
-  // one owner per region.
+  // The number of bundles into which the key space of a collection is divided;
+  // each bundle has one owner per region.
   int bundles_per_collection = 8;
-  // Second sends in per cent of first sends, at most.
+  // The maximum of second sends, as a percentage of first sends.
   int second_send_budget_percent = 3;
 };
 
-// The sends beyond the first of each request, over all daemons together.
+// Limits on extra sends, which are the sends after the first of each request,
+// summed over all daemons.
 struct ExtraSendsSettings {
+  // Extra sends allowed per request.
   double share = 0.2;
+  // Extra sends allowed in any window in addition to `share`.
   double slack = 50.0;
-  // The bound holds in any span of this length.
+  // The limit holds in any period of this length.
   base::Duration window = base::Milliseconds(10'000);
 };
 
-// For measuring only.
+// For measurements only.
 struct MeasuringSettings {
+  // The mechanism that is switched off.
   base::Mechanism without = base::Mechanism::kNothing;
 };
 
 struct DaemonSettings {
-  // The file they were read from; empty if they were given as text.
+  // The file that the settings were read from; empty if they were parsed from
+  // memory.
   std::string file;
   VmSettings vm;
   CallersSettings callers;
--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -1,4 +1,4 @@
-// Checking, setting and showing the value of one key.
+// Validates, sets and prints the value of one key.
 
 #include "src/settings/key.h"
 
@@ -66,8 +66,8 @@
   boost::system::error_code code;
   const auto ip = boost::asio::ip::make_address_v4(text.substr(0, colon), code);
   if (code) {
-    return "must be ip:port with an IPv4 number, such as 10.0.0.1:8080; names "
-           "are not looked up";
+    return "must be ip:port with an IPv4 address, such as 10.0.0.1:8080; host "
+           "names are not resolved";
   }
   const auto port = ParseInteger(text.substr(colon + 1));
   const std::int64_t min_port = is_remote ? 1 : 0;
@@ -80,7 +80,8 @@
   return std::nullopt;
 }
 
-// "key=value" with commas between, blanks around each allowed.
+// Whether `text` is a list of comma-separated name=name pairs; spaces are
+// ignored.
 bool IsPairs(std::string text) {
   std::erase(text, ' ');
   std::size_t at = 0;
@@ -121,7 +122,7 @@
       return CheckAddress(text, true);
     case TextRule::kSecret:
       if (!IsSecret(text)) {
-        return "must be 8 to 256 printable characters without blanks";
+        return "must be 8 to 256 printable characters without spaces";
       }
       return std::nullopt;
     case TextRule::kPath:
@@ -133,7 +134,7 @@
       return CheckAddresses(text);
     case TextRule::kPairs:
       if (!IsPairs(text)) {
-        return "must be name=name with commas between";
+        return "must be comma-separated name=name pairs";
       }
       return std::nullopt;
   }
@@ -231,9 +232,9 @@
       case TextRule::kPath:
         return "a path";
       case TextRule::kPairs:
-        return "name=name with commas between";
+        return "comma-separated name=name pairs";
       case TextRule::kAddresses:
-        return "ip:port with commas between";
+        return "comma-separated ip:port addresses";
     }
     return "";
   }
--- a/src/settings/key.h
+++ b/src/settings/key.h
@@ -1,5 +1,5 @@
-// One key of the settings file: its place, the values it takes, and how it is
-// set and shown.
+// One key of the settings file: its section and name, its valid values, and how
+// its value is set and printed.
 
 #ifndef MEDLARSPREAD_SETTINGS_KEY_H_
 #define MEDLARSPREAD_SETTINGS_KEY_H_
@@ -15,21 +15,21 @@
 
 namespace medlarspread::settings {
 
-// What a text may look like.
+// The format that a text value must have.
 enum class TextRule {
   // 1 to 64 letters, digits, '.', '_' or '-'.
   kName,
-  // "ip:port" to listen on; port 0 takes a free port.
+  // "ip:port" to listen on; port 0 selects a free port.
   kListenAddress,
   // "ip:port" that others connect to: neither 0.0.0.0 nor port 0.
   kRemoteAddress,
-  // 8 to 256 printable characters without blanks; never shown.
+  // 8 to 256 printable characters without spaces; never printed.
   kSecret,
-  // Any text.
+  // Any text that is not empty.
   kPath,
-  // "key=value" with commas between.
+  // Comma-separated name=name pairs.
   kPairs,
-  // "ip:port" with commas between; may be empty.
+  // Comma-separated "ip:port" addresses to connect to; may be empty.
   kAddresses,
 };
 
@@ -38,7 +38,7 @@
   TextRule rule;
 };
 
-// A whole number in [min, max], in the unit that the key's name ends in.
+// An integer in [min, max], in the unit given by the suffix of the key's name.
 struct IntegerValue {
   std::int64_t (*get)(const DaemonSettings&);
   void (*set)(DaemonSettings&, std::int64_t);
@@ -46,7 +46,7 @@
   std::int64_t max;
 };
 
-// A number in [min, max] that may have a fraction.
+// A decimal number in [min, max].
 struct DecimalValue {
   double (*get)(const DaemonSettings&);
   void (*set)(DaemonSettings&, double);
@@ -54,10 +54,10 @@
   double max;
 };
 
-// One of a few names.
+// One of a fixed set of names.
 struct ChoiceValue {
   const char* (*get)(const DaemonSettings&);
-  // Returns false if `name` is none of the names.
+  // Returns false if `name` is not one of `names`.
   bool (*set)(DaemonSettings&, std::string_view name);
   std::vector<std::string> names;
 };
@@ -70,19 +70,20 @@
   std::string name;
   KeyValue value;
   bool is_required;
-  // What it decides, in one or two sentences.
+  // The description for docs/SETTINGS.md, in one or two sentences.
   std::string help;
 };
 
-// Sets the key's value from `text`. Returns what is wrong with it, or nothing.
+// Sets the key's value from `text`. Returns a description of the problem if
+// `text` is not valid, else std::nullopt.
 std::optional<std::string> SetKey(const Key& key,
                                   const std::string& text,
                                   DaemonSettings& settings);
 
-// The key's value in `settings` as text. Secrets are shown as "(hidden)".
+// The key's value in `settings` as text. Secrets are printed as "(hidden)".
 std::string ShowKey(const Key& key, const DaemonSettings& settings);
 
-// What values the key takes, such as "1 to 64" or "json or text".
+// Describes the key's valid values, such as "1 to 64" or "json or text".
 std::string DescribeRange(const Key& key);
 
 }  // namespace medlarspread::settings
--- a/src/settings/key_reference.cc
+++ b/src/settings/key_reference.cc
@@ -25,7 +25,7 @@
     if (key.section != section) {
       section = key.section;
       page += (page.empty() ? "" : "\n") + ("### [" + section + "]\n\n");
-      page += "| key | default | values | what it decides |\n";
+      page += "| key | default | values | description |\n";
       page += "|---|---|---|---|\n";
     }
     page += "| `" + key.name + "` | " + DescribeDefault(key) + " | " +
--- a/src/settings/key_reference.h
+++ b/src/settings/key_reference.h
@@ -1,4 +1,5 @@
-// The key table as a page: docs/SETTINGS.md holds exactly this table.
+// Renders the key table as Markdown, which docs/SETTINGS.md must contain, and
+// the settings in force as INI.
 
 #ifndef MEDLARSPREAD_SETTINGS_KEY_REFERENCE_H_
 #define MEDLARSPREAD_SETTINGS_KEY_REFERENCE_H_
@@ -9,10 +10,11 @@
 
 namespace medlarspread::settings {
 
-// A Markdown table per section: key, default, values, what it decides.
+// One Markdown table per section, with each key's default, values and
+// description.
 std::string RenderKeyReference();
 
-// The settings in force in INI form, defaults included and secrets hidden.
+// The settings in force as INI, including defaults; secrets are hidden.
 std::string RenderSettings(const DaemonSettings& settings);
 
 }  // namespace medlarspread::settings
--- a/src/settings/key_table.cc
+++ b/src/settings/key_table.cc
@@ -1,4 +1,4 @@
-// The rows of the key table.
+// Defines all keys with their ranges and descriptions.
 
 #include "src/settings/key_table.h"
 
@@ -45,7 +45,7 @@
           min, max};
 }
 
-// A duration written as a number of seconds that may have a fraction.
+// A duration given as a decimal number of seconds.
 template <auto kSection, auto kMember>
 DecimalValue Seconds(double min, double max) {
   return {[](const DaemonSettings& settings) -> double {
@@ -60,7 +60,7 @@
           min, max};
 }
 
-// A duration written as a whole number of `Unit`.
+// A duration given as an integer number of `Unit`.
 template <typename Unit, auto kSection, auto kMember>
 IntegerValue Time(std::int64_t min, std::int64_t max) {
   return {[](const DaemonSettings& settings) -> std::int64_t {
@@ -144,22 +144,22 @@
   constexpr auto kVm = &Settings::vm;
   return {
       {"vm", "name", Text<kVm, &VmSettings::name>(TextRule::kName), true,
-       "The name of this VM, as in the platform's list of VMs."},
+       "The name of this VM in the platform's list of VMs."},
       {"vm", "region", Text<kVm, &VmSettings::region>(TextRule::kName), true,
        "The region of this VM."},
       {"vm", "failure_domain",
        Text<kVm, &VmSettings::failure_domain>(TextRule::kName), true,
-       "The failure domain of this VM, inside its region."},
+       "The failure domain of this VM within its region."},
       {"vm", "regions", Text<kVm, &VmSettings::regions>(TextRule::kPairs),
        false,
-       "The region of each failure domain, as domain=region with commas "
-       "between. Used with the opaque interface, where leaves name only their "
+       "The region of each failure domain, as comma-separated domain=region "
+       "pairs. Used with the opaque interface, where leaves report only their "
        "failure domain."},
       {"vm", "processor_share",
        Decimal<kVm, &VmSettings::processor_share>(0.001, 1024.0), false,
-       "The part of a core that this VM has, 1 for a whole one. Daemons on "
-       "small VMs hand requests to all shards to daemons on larger ones. Used "
-       "with the opaque interface."},
+       "The share of a CPU core that this VM has; 1 is a whole core. Daemons "
+       "on small VMs hand requests to all shards over to daemons on larger "
+       "VMs. Used with the opaque interface."},
   };
 }
 
@@ -168,29 +168,32 @@
   return {
       {"callers", "address",
        Text<kCallers, &CallersSettings::address>(TextRule::kListenAddress),
-       true, "Where callers connect."},
+       true, "The address that callers connect to."},
       {"callers", "interface", InterfaceChoice(), false,
-       "What callers send: queries in JSON, or opaque requests that are passed "
-       "on by the operators' routes."},
+       "What callers send: queries in JSON, or opaque requests that are "
+       "forwarded by the operators' routes."},
       {"callers", "readiness_address",
        Text<kCallers, &CallersSettings::readiness_address>(
            TextRule::kListenAddress),
        false,
-       "Where the balancer asks whether this daemon is ready. Required with "
+       "The address for the load balancer's readiness probes. Required with "
        "the opaque interface."},
       {"callers", "max_body_bytes",
        Integer<kCallers, &CallersSettings::max_body_bytes>(kKibibyte,
                                                            64 * kMebibyte),
-       false, "The largest request body; a larger one is answered with 413."},
+       false,
+       "The maximum size of a request body; a larger one is rejected with "
+       "413."},
       {"callers", "body_timeout_ms",
        Time<milliseconds, kCallers, &CallersSettings::body_timeout>(10, 60000),
        false,
-       "How long a request body may take to arrive; a slower one is answered "
-       "with 408."},
+       "The maximum time that a request body may take to arrive; a slower one "
+       "is rejected with 408."},
       {"callers", "max_requests",
        Integer<kCallers, &CallersSettings::max_requests>(1, 100000), false,
-       "Requests in flight at once on this VM. One more is refused at once, "
-       "with the time to come back. It bounds memory."},
+       "The maximum number of requests in flight on this VM, which limits "
+       "memory use. A request above it is refused at once, with the time after "
+       "which to retry."},
   };
 }
 
@@ -199,7 +202,7 @@
   return {
       {"operators", "address",
        Text<kOperators, &OperatorsSettings::address>(TextRule::kListenAddress),
-       true, "Where the administration API listens."},
+       true, "The address of the administration API."},
       {"operators", "token",
        Text<kOperators, &OperatorsSettings::token>(TextRule::kSecret), false,
        "The bearer token of the administration API. Exactly one of token and "
@@ -217,32 +220,37 @@
   return {
       {"peers", "address",
        Text<kPeers, &PeersSettings::address>(TextRule::kListenAddress), true,
-       "Where the other daemons connect, as in the platform's list of VMs."},
+       "The address that the other daemons connect to, as in the platform's "
+       "list of VMs."},
       {"peers", "query_address",
        Text<kPeers, &PeersSettings::query_address>(TextRule::kListenAddress),
        false,
-       "Where this daemon takes requests to all shards that other daemons hand "
-       "over. Without it, it takes none. Used with the opaque interface."},
+       "The address where this daemon receives requests to all shards that "
+       "other daemons hand over. If it is not set, the daemon receives none. "
+       "Used with the opaque interface."},
       {"peers", "seeds",
        Text<kPeers, &PeersSettings::seeds>(TextRule::kAddresses), false,
-       "Peers that may be asked for the routes before any is known and while "
-       "the store does not answer. Used with the opaque interface."},
+       "Peers to ask for the routes before any other peer is known and while "
+       "the store is unavailable. Used with the opaque interface."},
       {"peers", "max_frame_bytes",
        Integer<kPeers, &PeersSettings::max_frame_bytes>(64 * kKibibyte,
                                                         64 * kMebibyte),
-       false, "The largest message between daemons. The same on all VMs."},
+       false,
+       "The maximum size of a message between daemons. Must be the same on all "
+       "VMs."},
       {"peers", "max_queue_bytes",
        Integer<kPeers, &PeersSettings::max_queue_bytes>(64 * kKibibyte,
                                                         1024 * kMebibyte),
        false,
-       "Bytes that may wait for one peer. Above it messages to this peer are "
-       "refused. It bounds memory."},
+       "The maximum number of bytes queued for one peer, which limits memory "
+       "use. Messages above it are refused."},
       {"platform", "address",
        Text<kPlatform, &PlatformSettings::address>(TextRule::kRemoteAddress),
-       true, "The platform's key-value service and list of VMs."},
+       true,
+       "The address of the platform's key-value service and list of VMs."},
       {"platform", "timeout_ms",
        Time<milliseconds, kPlatform, &PlatformSettings::timeout>(10, 60000),
-       false, "How long one call to the platform may take."},
+       false, "The timeout of a call to the platform."},
   };
 }
 
@@ -250,17 +258,19 @@
   return {
       {"traffic", "threads",
        Integer<&DaemonSettings::traffic, &TrafficSettings::threads>(1, 64),
-       false, "Threads for requests. One more thread serves control state."},
+       false,
+       "The number of threads for requests. One more thread handles control "
+       "state."},
       {"stop", "bound_s",
        Seconds<&DaemonSettings::stop, &StopSettings::bound>(0.1, 600.0), false,
-       "How long a planned stop waits for requests in flight. What is cut off "
-       "after that is logged."},
+       "The maximum time that a planned stop waits for requests in flight. "
+       "Requests that are aborted after it are logged."},
       {"log", "level", LevelChoice(), false,
-       "The least severe level that is logged. `medlarspread log-level` "
-       "changes "
-       "it without a restart."},
+       "The lowest level that is logged. `medlarspread log-level` changes it "
+       "without a restart."},
       {"log", "format", FormatChoice(), false,
-       "One JSON object or one line of text per event, on standard error."},
+       "The format of the log on standard error: one JSON object or one line "
+       "of text per event."},
   };
 }
 
@@ -271,33 +281,34 @@
        Time<milliseconds, kMembership, &MembershipSettings::heartbeat>(50,
                                                                        60000),
        false,
-       "The time between two rounds of heartbeats inside the failure domain."},
+       "The interval between two rounds of heartbeats within the failure "
+       "domain."},
       {"membership", "gone_after_ms",
        Time<milliseconds, kMembership, &MembershipSettings::gone_after>(150,
                                                                         600000),
        false,
-       "The silence after which a peer is taken to be gone. At least three "
-       "heartbeats. A shorter time finds lost VMs sooner, and paused ones "
-       "too."},
+       "The time without a message after which a peer is declared gone; at "
+       "least three heartbeats. A shorter time detects lost VMs sooner, but "
+       "also declares paused VMs gone."},
       {"targets", "readers_per_failure_domain",
        Integer<&DaemonSettings::targets,
                &TargetsSettings::readers_per_failure_domain>(1, 16),
        false,
-       "Daemons of each failure domain that read the targets from the "
-       "platform. "
-       "The others learn them from their peers."},
+       "The number of daemons per failure domain that read the targets from "
+       "the platform. The others get them from their peers."},
       {"claims", "group_ms",
        Time<milliseconds, &DaemonSettings::claims, &ClaimsSettings::group>(
            0, 1000),
        false,
-       "The least time between two writes of one key of claims. Claims that "
-       "arrive meanwhile are written together. It adds to the latency of "
-       "non-idempotent requests and bounds the calls to the platform."},
+       "The minimum interval between two writes of a key of claims. Claims "
+       "that arrive in between are written as one batch. The interval adds to "
+       "the latency of non-idempotent requests and limits the rate of calls to "
+       "the platform."},
       {"burn", "flush_s",
        Time<seconds, &DaemonSettings::burn, &BurnSettings::flush>(1, 600),
        false,
-       "The mean time between two writes of this VM's counts. A VM that is "
-       "lost takes about this much with it; the report shows it as "
+       "The mean interval between two writes of this VM's counts. If a VM is "
+       "lost, so are the counts of about this time; the report shows it as "
        "unaccounted."},
   };
 }
@@ -307,20 +318,19 @@
   return {
       {"extra_sends", "share",
        Decimal<kExtra, &ExtraSendsSettings::share>(0.0, 1.0), false,
-       "Sends to a collection beyond the first of each request, as a share of "
-       "its requests, that its leaves bear from all daemons together. Used "
-       "with "
-       "the opaque interface."},
+       "The maximum of extra sends to a collection, which are the sends after "
+       "the first of each request, as a share of its requests, summed over all "
+       "daemons. Used with the opaque interface."},
       {"extra_sends", "slack",
        Decimal<kExtra, &ExtraSendsSettings::slack>(0.0, 100000.0), false,
-       "Extra sends that a collection bears from all daemons together beside "
-       "that share, in any window."},
+       "Extra sends to a collection that are allowed in any window in addition "
+       "to that share, summed over all daemons."},
       {"extra_sends", "window_s",
        Seconds<kExtra, &ExtraSendsSettings::window>(0.1, 600.0), false,
-       "The length of the window in which extra sends are counted."},
+       "The length of the window over which extra sends are counted."},
       {"measuring", "without", MechanismChoice(), false,
-       "For measuring only: a mechanism that is left out. Used with the opaque "
-       "interface."},
+       "For measurements only: the mechanism to switch off. Used with the "
+       "opaque interface."},
   };
 }
 
@@ -328,19 +338,19 @@
   constexpr auto kRouting = &DaemonSettings::routing;
   return {
       {"routing", "policy", PolicyChoice(), false,
-       "Where requests wait for a leaf. Leave it at the default: the others "
-       "are baselines for benchmarks. The same on all VMs."},
+       "Where requests are queued for a leaf. Keep the default: the other "
+       "policies are baselines for benchmarks. Must be the same on all VMs."},
       {"routing", "bundles_per_collection",
        Integer<kRouting, &RoutingSettings::bundles_per_collection>(1, 64),
        false,
-       "Into how many bundles the key space of a collection is cut. In each "
-       "region one daemon owns the queues of a bundle. A protective limit of "
-       "the system, not a weight. The same on all VMs."},
+       "The number of bundles into which the key space of a collection is "
+       "divided. In each region one daemon owns the queues of a bundle. A "
+       "safety limit that needs no tuning. Must be the same on all VMs."},
       {"routing", "second_send_budget_percent",
        Integer<kRouting, &RoutingSettings::second_send_budget_percent>(0, 5),
        false,
-       "Second sends to another replica, in per cent of first sends, at most. "
-       "A protective limit of the system, not a weight."},
+       "The maximum of second sends to another replica, as a percentage of "
+       "first sends. A safety limit that needs no tuning."},
   };
 }
 
--- a/src/settings/key_table.h
+++ b/src/settings/key_table.h
@@ -1,5 +1,5 @@
-// The table of all keys of the settings file. Parsing, check-config and
-// docs/SETTINGS.md all follow it, so that they can't differ.
+// The table of all keys of the settings file. The parser, check-config and
+// docs/SETTINGS.md all use it, so that they agree.
 
 #ifndef MEDLARSPREAD_SETTINGS_KEY_TABLE_H_
 #define MEDLARSPREAD_SETTINGS_KEY_TABLE_H_
@@ -11,9 +11,10 @@
 
 namespace medlarspread::settings {
 
-// In the order of the reference page.
+// All keys, in the order of docs/SETTINGS.md.
 const std::vector<Key>& Keys();
 
+// Returns null if there is no such key.
 const Key* FindKey(std::string_view section, std::string_view name);
 
 }  // namespace medlarspread::settings
--- a/src/settings/load_settings.cc
+++ b/src/settings/load_settings.cc
@@ -20,7 +20,7 @@
 constexpr std::size_t kMaxFileBytes = 1 << 20;
 
 base::Result<std::string> ReadFile(const std::string& path) {
-  // NOTE: a folder opens without an error, and only reading it fails.
+  // NOTE: opening a directory succeeds; only reading from it fails.
   std::ifstream file(path, std::ios::binary);
   std::string text(kMaxFileBytes + 1, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
@@ -36,7 +36,7 @@
   return text;
 }
 
-// Fills in the token from the file that the settings name, if they do.
+// Sets the token from the token file, if the settings name one.
 base::Status ReadToken(const std::string& settings_path,
                        DaemonSettings& settings) {
   if (settings.operators.token_file.empty()) {
--- a/src/settings/load_settings.h
+++ b/src/settings/load_settings.h
@@ -1,5 +1,5 @@
-// Reads a settings file. Every problem found is reported, each with the file
-// and the line.
+// Reads a settings file and reports every problem found, each with the file and
+// the line.
 
 #ifndef MEDLARSPREAD_SETTINGS_LOAD_SETTINGS_H_
 #define MEDLARSPREAD_SETTINGS_LOAD_SETTINGS_H_
@@ -11,13 +11,14 @@
 
 namespace medlarspread::settings {
 
-// Reads the file at `path`, and the token file that it names. Errors, all at
-// Step::kSettings: kNotFound if a file can't be read, kInvalidArgument if it is
-// not valid; then `detail` has one line per problem, "path:12: ...".
+// Reads the file at `path` and the token file that it names. All errors are at
+// Step::kSettings: kNotFound if a file can't be read, kTooLarge if it is larger
+// than 1 MiB, and kInvalidArgument if it is not valid; then `detail` has one
+// line per problem, "path:12: ...".
 base::Result<DaemonSettings> LoadSettings(const std::string& path);
 
-// The same for settings that are already in memory; `name` stands for the path
-// in errors. Does not read the token file.
+// Parses settings that are already in memory; errors give `name` as the path.
+// Does not read the token file.
 base::Result<DaemonSettings> ParseSettings(const std::string& text,
                                            const std::string& name);
 
--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -1,4 +1,4 @@
-// Checks of the settings file, one key at a time and then as a whole.
+// Checks each key of the settings file, and then the settings as a whole.
 
 #include "src/settings/settings_parser.h"
 
@@ -16,7 +16,7 @@
 
 constexpr int kMinHeartbeatsUntilGone = 3;
 
-// All sections, each once.
+// The names of all sections, without duplicates.
 std::vector<std::string> SectionNames() {
   std::set<std::string> sections;
   for (const Key& key : Keys()) {
@@ -63,12 +63,12 @@
 
 base::Result<DaemonSettings> SettingsParser::Parse() {
   if (rest_.find('\0') != std::string_view::npos) {
-    Report(0, "holds a zero byte: not a text file");
+    Report(0, "contains a zero byte; not a text file");
     rest_ = {};
   }
   const int bad_line = ini_parse_stream(DidAskForLine, this, DidFindKey, this);
   if (bad_line > 0) {
-    Report(bad_line, "neither [section], key = value nor a comment");
+    Report(bad_line, "not a [section], key = value or comment line");
   }
   CheckRequiredKeys();
   CheckRelations();
@@ -103,8 +103,8 @@
   const auto end = rest_.find('\n');
   std::string_view line = rest_.substr(0, end);
   rest_.remove_prefix(end == std::string_view::npos ? rest_.size() : end + 1);
-  // NOTE: the library takes an indented line as part of the value before it;
-  // here an indented key is a key.
+  // NOTE: the library treats an indented line as a continuation of the previous
+  // value. Indentation is removed, so that an indented key is read as a key.
   while (!line.empty() && IsBlank(line.front())) {
     line.remove_prefix(1);
   }
@@ -141,7 +141,7 @@
 void SettingsParser::ReportUnknown(const std::string& section,
                                    const std::string& name) {
   if (section.empty()) {
-    Report(line_, "key " + name + " stands before any [section]");
+    Report(line_, "key " + name + " is before the first [section]");
     return;
   }
   const std::vector<std::string> names = KeyNames(section);
@@ -166,9 +166,11 @@
     }
   }
   if (settings_.callers.interface == CallerInterface::kOpaque) {
-    // The operators of this interface write to the store; nobody signs in.
+    // No token is needed: with this interface operators write to the store
+    // instead of using the administration API.
     if (settings_.callers.readiness_address.empty()) {
-      Report(0, "[callers] readiness_address is required with opaque requests");
+      Report(0,
+             "[callers] readiness_address is required with interface = opaque");
     }
     return;
   }
@@ -196,12 +198,13 @@
   };
   if (is_clash(callers, operators) || is_clash(callers, peers) ||
       is_clash(operators, peers)) {
-    Report(0, "[callers], [operators] and [peers] need different addresses");
+    Report(0,
+           "[callers], [operators] and [peers] must have different addresses");
   }
   if (peers.rfind("0.0.0.0:", 0) == 0) {
     Report(0,
-           "[peers] address must not be 0.0.0.0: the other daemons are told to "
-           "connect to it");
+           "[peers] address must not be 0.0.0.0: the other daemons connect to "
+           "it");
   }
 }
 
--- a/src/settings/settings_parser.h
+++ b/src/settings/settings_parser.h
@@ -1,4 +1,5 @@
-// Runs the INI library over one text and checks each key against the table.
+// Parses one text with the INI library and checks each key against the key
+// table.
 
 #ifndef MEDLARSPREAD_SETTINGS_SETTINGS_PARSER_H_
 #define MEDLARSPREAD_SETTINGS_SETTINGS_PARSER_H_
@@ -14,10 +15,10 @@
 
 namespace medlarspread::settings {
 
-// Used once for one text.
+// Parses one text; not reusable.
 class SettingsParser {
  public:
-  // `name` is the file's name in errors.
+  // `name` is the file name that errors give.
   SettingsParser(std::string_view text, std::string name)
       : rest_(text), name_(std::move(name)) {}
 
@@ -45,13 +46,14 @@
   // The part of the text that the library has not read yet.
   std::string_view rest_;
   const std::string name_;
-  // The line that the library read last, counted from 1. The library hands out
-  // each key before it reads the next line, so this is the key's line too.
+  // The number of the line that the library read last, starting at 1. The
+  // library reports each key before it reads the next line, so this is also the
+  // line of the key.
   int line_ = 0;
   DaemonSettings settings_;
   // The line of each key that was set.
   std::map<const Key*, int> lines_;
-  // Ordered by line. Line 0 stands for the file as a whole.
+  // Error messages by line; line 0 is for problems of the file as a whole.
   std::multimap<int, std::string> problems_;
 };
 
--- a/tests/settings/key_reference_test.cc
+++ b/tests/settings/key_reference_test.cc
@@ -1,4 +1,4 @@
-// The reference page must say what the key table says.
+// docs/SETTINGS.md contains the rendered key table, and its example is valid.
 
 #include <fstream>
 #include <iterator>
@@ -19,7 +19,7 @@
 
 TEST(KeyReferenceTest, PageHoldsTheWholeTable) {
   EXPECT_THAT(ReadPage(), testing::HasSubstr(RenderKeyReference()))
-      << "docs/SETTINGS.md must hold this:\n"
+      << "docs/SETTINGS.md must contain this:\n"
       << RenderKeyReference();
 }
 
--- a/tests/settings/load_settings_test.cc
+++ b/tests/settings/load_settings_test.cc
@@ -1,4 +1,4 @@
-// Settings files: what is accepted, and that every fault is refused with its
+// Which settings files are valid, and that every problem is reported with its
 // line.
 
 #include <cstdio>
@@ -131,12 +131,12 @@
 
 TEST(LoadSettingsTest, RefusesTextThatIsNotIni) {
   EXPECT_EQ(ProblemsWith("[traffic]\nthreads\n"),
-            "test.ini:15: neither [section], key = value nor a comment");
+            "test.ini:15: not a [section], key = value or comment line");
   EXPECT_THAT(ProblemsWith("[log]\nlevel = " + std::string(5000, 'x') + "\n"),
               HasSubstr("test.ini:15: longer than"));
   EXPECT_THAT(ProblemsWith(std::string("\0", 1)), HasSubstr("zero byte"));
   EXPECT_THAT(ParseSettings("name = x\n", "test.ini").error().detail,
-              HasSubstr("test.ini:1: key name stands before any [section]"));
+              HasSubstr("test.ini:1: key name is before the first [section]"));
 }
 
 TEST(LoadSettingsTest, ReportsEveryProblemAtOnce) {
@@ -157,7 +157,7 @@
   std::string text = kMinimal;
   text.replace(text.find("10.0.0.1:9002"), 13, "127.0.0.1:9001");
   EXPECT_THAT(ParseSettings(text, "test.ini").error().detail,
-              HasSubstr("need different addresses"));
+              HasSubstr("must have different addresses"));
   text.replace(text.find("127.0.0.1:9001\n[pl"), 14, "0.0.0.0:9002");
   EXPECT_THAT(ParseSettings(text, "test.ini").error().detail,
               HasSubstr("[peers] address must not be 0.0.0.0"));
--- a/tests/settings/settings_property_test.cc
+++ b/tests/settings/settings_property_test.cc
@@ -1,5 +1,5 @@
-// Whatever bytes a settings file holds, reading it neither throws nor accepts
-// what lacks the required keys. RapidCheck prints the seed of a failure.
+// Parsing arbitrary bytes never throws, and never succeeds without the required
+// keys. RapidCheck prints the seed of a failure.
 
 #include <string>
 
--- a/tests/settings/template_test.cc
+++ b/tests/settings/template_test.cc
@@ -1,4 +1,5 @@
-// The template of the platform's settings, filled in with what it may hold.
+// The settings template for the platform is valid with all values that the
+// platform may fill in.
 
 #include <fstream>
 #include <iterator>
@@ -57,7 +58,7 @@
   EXPECT_EQ(settings.value().extra_sends.slack, 58.0);
 }
 
-// A daemon that refused one of these would not start at all.
+// A daemon that rejected one of these values would not start.
 TEST(TemplateTest, EveryFigureMayHaveAFraction) {
   Values values = MakeValues();
   values["limits.cpu_share"] = "0.125";
