--- a/src/base/boot_timer.h
+++ b/src/base/boot_timer.h
@@ -5,7 +5,7 @@
 // a request that had 0.9 s left when its VM was suspended for 5 s would be
 // answered 0.9 s after the VM resumes, when the caller has long given up, and
 // state that should have expired would still be used until then. This timer
-// fires at most kLongestWait after the VM resumes.
+// fires at most kMaxTimerWait after the VM resumes.
 
 #ifndef MEDLARSPREAD_BASE_BOOT_TIMER_H_
 #define MEDLARSPREAD_BASE_BOOT_TIMER_H_
@@ -37,14 +37,14 @@
 // The kernel's timers don't count a suspension either, so no wait is longer
 // than this before the clock is read again. The four wake-ups a second cost an
 // idle thread some 0.01% of a core.
-constexpr Duration kLongestWait = Milliseconds(250);
+constexpr Duration kMaxTimerWait = Milliseconds(250);
 
-// Wait traits for basic_waitable_timer that limit each wait to kLongestWait.
+// Wait traits for basic_waitable_timer that limit each wait to kMaxTimerWait.
 template <typename AnyClock>
 struct ShortWaits {
   static typename AnyClock::duration to_wait_duration(
       const typename AnyClock::duration& until_due) {
-    return std::min<typename AnyClock::duration>(until_due, kLongestWait);
+    return std::min<typename AnyClock::duration>(until_due, kMaxTimerWait);
   }
   static typename AnyClock::duration to_wait_duration(
       const typename AnyClock::time_point& due) {
--- a/tests/base/boot_timer_test.cc
+++ b/tests/base/boot_timer_test.cc
@@ -48,10 +48,10 @@
   boost::asio::io_context context;
   BootTimer timer(context);
   const auto began = BootClock::now();
-  timer.expires_after(kLongestWait + Milliseconds(50));
+  timer.expires_after(kMaxTimerWait + Milliseconds(50));
   timer.async_wait([](const boost::system::error_code&) {});
   context.run();
-  EXPECT_GE(BootClock::now() - began, kLongestWait + Milliseconds(50));
+  EXPECT_GE(BootClock::now() - began, kMaxTimerWait + Milliseconds(50));
 }
 
 }  // namespace
