--- a/src/base/boot_timer.h
+++ b/src/base/boot_timer.h
@@ -41,7 +41,7 @@
 
 // Wait traits for basic_waitable_timer that limit each wait to kMaxTimerWait.
 template <typename AnyClock>
-struct ShortWaits {
+struct CappedWaitTraits {
   static typename AnyClock::duration to_wait_duration(
       const typename AnyClock::duration& until_due) {
     return std::min<typename AnyClock::duration>(until_due, kMaxTimerWait);
@@ -54,7 +54,7 @@
 
 template <typename AnyClock>
 using TimerOf =
-    boost::asio::basic_waitable_timer<AnyClock, ShortWaits<AnyClock>>;
+    boost::asio::basic_waitable_timer<AnyClock, CappedWaitTraits<AnyClock>>;
 
 using BootTimer = TimerOf<BootClock>;
 
