--- a/tests/base/boot_timer_test.cc
+++ b/tests/base/boot_timer_test.cc
@@ -27,7 +27,7 @@
 
 // The timer and the simulated suspension both last a minute. A timer on the
 // steady clock would wait for the whole minute.
-TEST(BootTimerTest, ASuspensionCounts) {
+TEST(BootTimerTest, FiresWhenTheVmResumes) {
   ClockWithSuspension::suspended_us = 0;
   boost::asio::io_context context;
   TimerOf<ClockWithSuspension> timer(context);
