--- a/tests/base/boot_timer_test.cc
+++ b/tests/base/boot_timer_test.cc
@@ -44,7 +44,7 @@
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::seconds(20));
 }
 
-TEST(BootTimerTest, IsNeverEarly) {
+TEST(BootTimerTest, NeverFiresEarly) {
   boost::asio::io_context context;
   BootTimer timer(context);
   const auto began = BootClock::now();
