--- a/src/base/loop_lag.cc
+++ b/src/base/loop_lag.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Older measurements are ignored: they no longer reflect the current load.
-constexpr Duration kLongestUse = Milliseconds(200);
+constexpr Duration kMaxMeasurementAge = Milliseconds(200);
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 Duration LoopLag::Estimate() {
   const MonotonicTime now = clock_.Now();
   Duration lag{};
-  if (now - state_->measured <= kLongestUse) {
+  if (now - state_->measured <= kMaxMeasurementAge) {
     lag = state_->last;
   }
   if (state_->tick_due != MonotonicTime{}) {
