--- a/src/base/loop_lag.cc
+++ b/src/base/loop_lag.cc
@@ -26,15 +26,15 @@
   if (state_->tick_due != MonotonicTime{}) {
     lag = std::max(lag, now - state_->tick_due);
   }
-  if (state_->began != MonotonicTime{}) {
+  if (state_->probe_started != MonotonicTime{}) {
     // The lag is at least the time that the pending probe has waited so far.
-    return std::max(lag, now - state_->began);
+    return std::max(lag, now - state_->probe_started);
   }
-  state_->began = now;
+  state_->probe_started = now;
   post_([state = state_, clock = clock_] {
     state->measured = clock.Now();
-    state->last = state->measured - state->began;
-    state->began = {};
+    state->last = state->measured - state->probe_started;
+    state->probe_started = {};
   });
   return lag;
 }
--- a/src/base/loop_lag.h
+++ b/src/base/loop_lag.h
@@ -35,7 +35,7 @@
  private:
   struct State {
     // When the running measurement started; zero if none is running.
-    MonotonicTime began;
+    MonotonicTime probe_started;
     Duration last{};
     MonotonicTime measured;
     // When the next tick is due; zero if none is expected.
