--- a/src/base/loop_lag.cc
+++ b/src/base/loop_lag.cc
@@ -21,7 +21,7 @@
   const MonotonicTime now = clock_.Now();
   Duration lag{};
   if (now - state_->measured <= kMaxMeasurementAge) {
-    lag = state_->last;
+    lag = state_->last_lag;
   }
   if (state_->tick_due != MonotonicTime{}) {
     lag = std::max(lag, now - state_->tick_due);
@@ -33,7 +33,7 @@
   state_->probe_started = now;
   post_([state = state_, clock = clock_] {
     state->measured = clock.Now();
-    state->last = state->measured - state->probe_started;
+    state->last_lag = state->measured - state->probe_started;
     state->probe_started = {};
   });
   return lag;
@@ -44,7 +44,7 @@
   const bool is_late =
       state_->tick_due != MonotonicTime{} && now > state_->tick_due;
   if (is_late) {
-    state_->last = now - state_->tick_due;
+    state_->last_lag = now - state_->tick_due;
     state_->measured = now;
   }
   state_->tick_due = due;
--- a/src/base/loop_lag.h
+++ b/src/base/loop_lag.h
@@ -36,7 +36,7 @@
   struct State {
     // When the running measurement started; zero if none is running.
     MonotonicTime probe_started;
-    Duration last{};
+    Duration last_lag{};
     MonotonicTime measured;
     // When the next tick is due; zero if none is expected.
     MonotonicTime tick_due;
