--- a/src/base/loop_lag.cc
+++ b/src/base/loop_lag.cc
@@ -20,7 +20,7 @@
 Duration LoopLag::Estimate() {
   const MonotonicTime now = clock_.Now();
   Duration lag{};
-  if (now - state_->measured <= kMaxMeasurementAge) {
+  if (now - state_->measured_at <= kMaxMeasurementAge) {
     lag = state_->last_lag;
   }
   if (state_->tick_due != MonotonicTime{}) {
@@ -32,8 +32,8 @@
   }
   state_->probe_started = now;
   post_([state = state_, clock = clock_] {
-    state->measured = clock.Now();
-    state->last_lag = state->measured - state->probe_started;
+    state->measured_at = clock.Now();
+    state->last_lag = state->measured_at - state->probe_started;
     state->probe_started = {};
   });
   return lag;
@@ -45,7 +45,7 @@
       state_->tick_due != MonotonicTime{} && now > state_->tick_due;
   if (is_late) {
     state_->last_lag = now - state_->tick_due;
-    state_->measured = now;
+    state_->measured_at = now;
   }
   state_->tick_due = due;
 }
--- a/src/base/loop_lag.h
+++ b/src/base/loop_lag.h
@@ -37,7 +37,7 @@
     // When the running measurement started; zero if none is running.
     MonotonicTime probe_started;
     Duration last_lag{};
-    MonotonicTime measured;
+    MonotonicTime measured_at;
     // When the next tick is due; zero if none is expected.
     MonotonicTime tick_due;
   };
