--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -26,7 +26,7 @@
                }};
 };
 
-TEST_F(LoopLagTest, AnIdleLoopHasNone) {
+TEST_F(LoopLagTest, IdleLoopHasNoLag) {
   EXPECT_EQ(lag_.Estimate(), Duration{});
   RunAll();
   EXPECT_EQ(lag_.Estimate(), Duration{});
