--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -32,7 +32,7 @@
   EXPECT_EQ(lag_.Estimate(), Duration{});
 }
 
-TEST_F(LoopLagTest, IsTheTimeUntilTheTaskRan) {
+TEST_F(LoopLagTest, IsTheDelayOfTheProbe) {
   (void)lag_.Estimate();
   time_->Advance(Milliseconds(40));
   RunAll();
