--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(lag_.Estimate(), Milliseconds(40));
 }
 
-TEST_F(LoopLagTest, GrowsWhileTheTaskStillWaits) {
+TEST_F(LoopLagTest, GrowsWhileTheProbeIsPending) {
   (void)lag_.Estimate();
   time_->Advance(Milliseconds(70));
   EXPECT_EQ(lag_.Estimate(), Milliseconds(70));
