--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -46,7 +46,7 @@
   EXPECT_EQ(tasks_.size(), 1U);
 }
 
-TEST_F(LoopLagTest, IsForgottenSoon) {
+TEST_F(LoopLagTest, MeasurementExpires) {
   (void)lag_.Estimate();
   time_->Advance(Milliseconds(40));
   RunAll();
