--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -56,7 +56,7 @@
 
 // When a frozen VM resumes, its pending requests may have waited as long as the
 // freeze lasted; the tick may run before or after they are read.
-TEST_F(LoopLagTest, ALateTickShowsThatTheThreadStoodStill) {
+TEST_F(LoopLagTest, LateTickShowsThatTheThreadWasBlocked) {
   lag_.ExpectTick({2'000'000});
   time_->Advance(Milliseconds(4'000));
   EXPECT_EQ(lag_.Estimate(), Milliseconds(3'000));
