--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -69,7 +69,7 @@
   EXPECT_EQ(lag_.Estimate(), Duration{});
 }
 
-TEST_F(LoopLagTest, ATickInTimeShowsNothing) {
+TEST_F(LoopLagTest, TickOnTimeAddsNoLag) {
   lag_.ExpectTick({2'000'000});
   time_->Advance(Milliseconds(900));
   EXPECT_EQ(lag_.Estimate(), Duration{});
