--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -7,8 +7,9 @@
 
 namespace medlarspread::base {
 
-NonblockingOutput::NonblockingOutput(int descriptor, std::size_t most_bytes)
-    : descriptor_(descriptor), most_bytes_(most_bytes) {
+NonblockingOutput::NonblockingOutput(int descriptor,
+                                     std::size_t max_pending_bytes)
+    : descriptor_(descriptor), most_bytes_(max_pending_bytes) {
   const int flags = fcntl(descriptor_, F_GETFL);
   if (flags >= 0) {
     (void)fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -17,9 +17,9 @@
 // Not thread-safe; the logger serializes its writes.
 class NonblockingOutput : public std::streambuf {
  public:
-  // Makes `descriptor` non-blocking. Buffers at most `most_bytes`.
+  // Makes `descriptor` non-blocking. Buffers at most `max_pending_bytes`.
   explicit NonblockingOutput(int descriptor,
-                             std::size_t most_bytes = 256 << 10);
+                             std::size_t max_pending_bytes = 256 << 10);
 
   std::int64_t dropped_lines() const { return dropped_; }
 
