--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -9,7 +9,7 @@
 
 NonblockingOutput::NonblockingOutput(int descriptor,
                                      std::size_t max_pending_bytes)
-    : descriptor_(descriptor), most_bytes_(max_pending_bytes) {
+    : descriptor_(descriptor), max_pending_bytes_(max_pending_bytes) {
   const int flags = fcntl(descriptor_, F_GETFL);
   if (flags >= 0) {
     (void)fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
@@ -40,7 +40,7 @@
   if (line_.empty()) {
     return;
   }
-  if (waiting_.size() + line_.size() > most_bytes_) {
+  if (waiting_.size() + line_.size() > max_pending_bytes_) {
     ++dropped_;
     ++dropped_untold_;
   } else {
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -34,7 +34,7 @@
   void WriteOut();
 
   const int descriptor_;
-  const std::size_t most_bytes_;
+  const std::size_t max_pending_bytes_;
   std::string line_;
   // Whole lines not written yet; the first may be written in part.
   std::string waiting_;
