--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -40,30 +40,30 @@
   if (line_.empty()) {
     return;
   }
-  if (waiting_.size() + line_.size() > max_pending_bytes_) {
+  if (pending_.size() + line_.size() > max_pending_bytes_) {
     ++dropped_;
     ++dropped_untold_;
   } else {
     if (dropped_untold_ > 0) {
-      waiting_ += R"({"level":"warning","step":"log","message":")" +
+      pending_ += R"({"level":"warning","step":"log","message":")" +
                   std::to_string(dropped_untold_) +
                   " lines were dropped because the reader is too slow\"}\n";
       dropped_untold_ = 0;
     }
-    waiting_ += line_;
+    pending_ += line_;
   }
   line_.clear();
 }
 
 void NonblockingOutput::WriteOut() {
-  while (!waiting_.empty()) {
+  while (!pending_.empty()) {
     const ssize_t written =
-        ::write(descriptor_, waiting_.data(), waiting_.size());
+        ::write(descriptor_, pending_.data(), pending_.size());
     // The pipe is full or the reader is gone: retried with the next line.
     if (written <= 0) {
       return;
     }
-    waiting_.erase(0, static_cast<std::size_t>(written));
+    pending_.erase(0, static_cast<std::size_t>(written));
   }
 }
 
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -37,7 +37,7 @@
   const std::size_t max_pending_bytes_;
   std::string line_;
   // Whole lines not written yet; the first may be written in part.
-  std::string waiting_;
+  std::string pending_;
   std::int64_t dropped_ = 0;
   // Dropped lines that no line of the output has reported yet.
   std::int64_t dropped_untold_ = 0;
