--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -42,13 +42,13 @@
   }
   if (pending_.size() + line_.size() > max_pending_bytes_) {
     ++dropped_;
-    ++dropped_untold_;
+    ++unreported_drops_;
   } else {
-    if (dropped_untold_ > 0) {
+    if (unreported_drops_ > 0) {
       pending_ += R"({"level":"warning","step":"log","message":")" +
-                  std::to_string(dropped_untold_) +
+                  std::to_string(unreported_drops_) +
                   " lines were dropped because the reader is too slow\"}\n";
-      dropped_untold_ = 0;
+      unreported_drops_ = 0;
     }
     pending_ += line_;
   }
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -40,7 +40,7 @@
   std::string pending_;
   std::int64_t dropped_ = 0;
   // Dropped lines that no line of the output has reported yet.
-  std::int64_t dropped_untold_ = 0;
+  std::int64_t unreported_drops_ = 0;
 };
 
 }  // namespace medlarspread::base
