--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -31,12 +31,12 @@
 
 int NonblockingOutput::sync() {
   WriteOut();
-  TakeLine();
+  FinishLine();
   WriteOut();
   return 0;
 }
 
-void NonblockingOutput::TakeLine() {
+void NonblockingOutput::FinishLine() {
   if (line_.empty()) {
     return;
   }
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -30,7 +30,7 @@
   int sync() override;
 
  private:
-  void TakeLine();
+  void FinishLine();
   void WriteOut();
 
   const int descriptor_;
