--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -30,9 +30,9 @@
 }
 
 int NonblockingOutput::sync() {
-  WriteOut();
+  WritePending();
   FinishLine();
-  WriteOut();
+  WritePending();
   return 0;
 }
 
@@ -55,7 +55,7 @@
   line_.clear();
 }
 
-void NonblockingOutput::WriteOut() {
+void NonblockingOutput::WritePending() {
   while (!pending_.empty()) {
     const ssize_t written =
         ::write(descriptor_, pending_.data(), pending_.size());
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -31,7 +31,7 @@
 
  private:
   void FinishLine();
-  void WriteOut();
+  void WritePending();
 
   const int descriptor_;
   const std::size_t max_pending_bytes_;
