--- a/tests/base/nonblocking_output_test.cc
+++ b/tests/base/nonblocking_output_test.cc
@@ -41,7 +41,7 @@
   EXPECT_EQ(ReadAll(), "one 1\ntwo\n");
 }
 
-TEST_F(NonblockingOutputTest, NeverWaitsAndSaysWhatItDropped) {
+TEST_F(NonblockingOutputTest, NeverBlocksAndReportsDroppedLines) {
   NonblockingOutput output(ends_[1], 4096);
   std::ostream stream(&output);
   const std::string line(999, 'x');
