--- a/tests/base/nonblocking_output_test.cc
+++ b/tests/base/nonblocking_output_test.cc
@@ -53,9 +53,9 @@
   std::string all = ReadAll();
   stream << "last\n" << std::flush;
   all += ReadAll();
-  const std::string said =
+  const std::string expected_report =
       std::to_string(output.dropped_lines()) + " lines were dropped";
-  EXPECT_NE(all.find(said), std::string::npos);
+  EXPECT_NE(all.find(expected_report), std::string::npos);
   EXPECT_EQ(all.substr(all.size() - 5), "last\n");
 }
 
