--- a/src/base/json_string.cc
+++ b/src/base/json_string.cc
@@ -39,8 +39,8 @@
   constexpr std::uint32_t kSmallest[] = {0, 0, 0x80, 0x800, 0x10000};
   const auto first = static_cast<unsigned char>(bytes.front());
   std::uint32_t code_point = first & (0xFFU >> (bytes.size() + 1));
-  for (const char letter : bytes.substr(1)) {
-    const auto byte = static_cast<unsigned char>(letter);
+  for (const char character : bytes.substr(1)) {
+    const auto byte = static_cast<unsigned char>(character);
     if ((byte & 0xC0) != 0x80) {
       return false;
     }
@@ -52,19 +52,19 @@
          code_point <= kLastCodePoint && !is_surrogate;
 }
 
-std::string EscapeAscii(char letter) {
+std::string EscapeAscii(char character) {
   constexpr const char* kDigits = "0123456789abcdef";
-  const auto byte = static_cast<unsigned char>(letter);
-  if (letter == '"' || letter == '\\') {
-    return {'\\', letter};
+  const auto byte = static_cast<unsigned char>(character);
+  if (character == '"' || character == '\\') {
+    return {'\\', character};
   }
-  if (letter == '\n') {
+  if (character == '\n') {
     return "\\n";
   }
   if (byte < kFirstPrintable || byte == 0x7F) {
     return std::string("\\u00") + kDigits[byte >> 4] + kDigits[byte & 0xF];
   }
-  return {letter};
+  return {character};
 }
 
 }  // namespace
--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -16,11 +16,11 @@
   }
 }
 
-NonblockingOutput::int_type NonblockingOutput::overflow(int_type letter) {
-  if (!traits_type::eq_int_type(letter, traits_type::eof())) {
-    line_ += traits_type::to_char_type(letter);
+NonblockingOutput::int_type NonblockingOutput::overflow(int_type character) {
+  if (!traits_type::eq_int_type(character, traits_type::eof())) {
+    line_ += traits_type::to_char_type(character);
   }
-  return traits_type::not_eof(letter);
+  return traits_type::not_eof(character);
 }
 
 std::streamsize NonblockingOutput::xsputn(const char* text,
--- a/src/base/nonblocking_output.h
+++ b/src/base/nonblocking_output.h
@@ -24,7 +24,7 @@
   std::int64_t dropped_lines() const { return dropped_; }
 
  protected:
-  int_type overflow(int_type letter) override;
+  int_type overflow(int_type character) override;
   std::streamsize xsputn(const char* text, std::streamsize size) override;
   // Ends the current line and writes as much as the descriptor accepts.
   int sync() override;
