--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -257,7 +257,7 @@
   return std::visit(Setter{text, settings}, key.value);
 }
 
-std::string ShowKey(const Key& key, const DaemonSettings& settings) {
+std::string FormatKey(const Key& key, const DaemonSettings& settings) {
   return std::visit(Shower{settings}, key.value);
 }
 
--- a/src/settings/key.h
+++ b/src/settings/key.h
@@ -81,7 +81,7 @@
                                   DaemonSettings& settings);
 
 // The key's value in `settings` as text. Secrets are printed as "(hidden)".
-std::string ShowKey(const Key& key, const DaemonSettings& settings);
+std::string FormatKey(const Key& key, const DaemonSettings& settings);
 
 // Describes the key's valid values, such as "1 to 64" or "json or text".
 std::string DescribeRange(const Key& key);
--- a/src/settings/key_reference.cc
+++ b/src/settings/key_reference.cc
@@ -12,7 +12,7 @@
   if (key.is_required) {
     return "required";
   }
-  const std::string text = ShowKey(key, DaemonSettings{});
+  const std::string text = FormatKey(key, DaemonSettings{});
   return text.empty() ? "none" : "`" + text + "`";
 }
 
@@ -42,7 +42,7 @@
       section = key.section;
       text += (text.empty() ? "[" : "\n[") + section + "]\n";
     }
-    const std::string value = ShowKey(key, settings);
+    const std::string value = FormatKey(key, settings);
     if (!value.empty()) {
       text += key.name + " = " + value + "\n";
     }
--- a/tests/settings/load_settings_test.cc
+++ b/tests/settings/load_settings_test.cc
@@ -70,7 +70,7 @@
   for (const Key& key : Keys()) {
     if (const auto* value = std::get_if<IntegerValue>(&key.value)) {
       DaemonSettings settings;
-      const std::string shown = ShowKey(key, settings);
+      const std::string shown = FormatKey(key, settings);
       EXPECT_EQ(SetKey(key, shown, settings), std::nullopt) << key.name;
       for (const std::int64_t limit : {value->min, value->max}) {
         EXPECT_EQ(SetKey(key, std::to_string(limit), settings), std::nullopt);
