--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -198,7 +198,7 @@
   }
 };
 
-struct Shower {
+struct ValueFormatter {
   const DaemonSettings& settings;
 
   std::string operator()(const TextValue& value) const {
@@ -258,7 +258,7 @@
 }
 
 std::string FormatKey(const Key& key, const DaemonSettings& settings) {
-  return std::visit(Shower{settings}, key.value);
+  return std::visit(ValueFormatter{settings}, key.value);
 }
 
 std::string DescribeRange(const Key& key) {
