--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -66,7 +66,7 @@
     Report(0, "contains a zero byte; not a text file");
     rest_ = {};
   }
-  const int bad_line = ini_parse_stream(DidAskForLine, this, DidFindKey, this);
+  const int bad_line = ini_parse_stream(DidRequestLine, this, DidFindKey, this);
   if (bad_line > 0) {
     Report(bad_line, "not a [section], key = value or comment line");
   }
@@ -83,7 +83,7 @@
                          base::Step::kSettings, "", std::move(detail));
 }
 
-char* SettingsParser::DidAskForLine(char* buffer, int size, void* parser) {
+char* SettingsParser::DidRequestLine(char* buffer, int size, void* parser) {
   return static_cast<SettingsParser*>(parser)->ReadLine(buffer, size);
 }
 
--- a/src/settings/settings_parser.h
+++ b/src/settings/settings_parser.h
@@ -26,7 +26,7 @@
 
  private:
   // The INI library's callbacks; `parser` is this object.
-  static char* DidAskForLine(char* buffer, int size, void* parser);
+  static char* DidRequestLine(char* buffer, int size, void* parser);
   static int DidFindKey(void* parser,
                         const char* section,
                         const char* name,
