--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -132,7 +132,7 @@
       return std::nullopt;
     case TextRule::kAddresses:
       return CheckAddresses(text);
-    case TextRule::kPairs:
+    case TextRule::kNamePairs:
       if (!IsPairs(text)) {
         return "must be comma-separated name=name pairs";
       }
@@ -231,7 +231,7 @@
         return "8 to 256 printable characters";
       case TextRule::kPath:
         return "a path";
-      case TextRule::kPairs:
+      case TextRule::kNamePairs:
         return "comma-separated name=name pairs";
       case TextRule::kAddresses:
         return "comma-separated ip:port addresses";
--- a/src/settings/key.h
+++ b/src/settings/key.h
@@ -28,7 +28,7 @@
   // Any text that is not empty.
   kPath,
   // Comma-separated name=name pairs.
-  kPairs,
+  kNamePairs,
   // Comma-separated "ip:port" addresses to connect to; may be empty.
   kAddresses,
 };
--- a/src/settings/key_table.cc
+++ b/src/settings/key_table.cc
@@ -150,7 +150,7 @@
       {"vm", "failure_domain",
        Text<kVm, &VmSettings::failure_domain>(TextRule::kName), true,
        "The failure domain of this VM within its region."},
-      {"vm", "regions", Text<kVm, &VmSettings::regions>(TextRule::kPairs),
+      {"vm", "regions", Text<kVm, &VmSettings::regions>(TextRule::kNamePairs),
        false,
        "The region of each failure domain, as comma-separated domain=region "
        "pairs. Used with the opaque interface, where leaves report only their "
