--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -130,7 +130,7 @@
         return "must not be empty";
       }
       return std::nullopt;
-    case TextRule::kAddresses:
+    case TextRule::kRemoteAddresses:
       return CheckAddresses(text);
     case TextRule::kNamePairs:
       if (!IsPairs(text)) {
@@ -233,7 +233,7 @@
         return "a path";
       case TextRule::kNamePairs:
         return "comma-separated name=name pairs";
-      case TextRule::kAddresses:
+      case TextRule::kRemoteAddresses:
         return "comma-separated ip:port addresses";
     }
     return "";
--- a/src/settings/key.h
+++ b/src/settings/key.h
@@ -30,7 +30,7 @@
   // Comma-separated name=name pairs.
   kNamePairs,
   // Comma-separated "ip:port" addresses to connect to; may be empty.
-  kAddresses,
+  kRemoteAddresses,
 };
 
 struct TextValue {
--- a/src/settings/key_table.cc
+++ b/src/settings/key_table.cc
@@ -229,7 +229,7 @@
        "other daemons hand over. If it is not set, the daemon receives none. "
        "Used with the opaque interface."},
       {"peers", "seeds",
-       Text<kPeers, &PeersSettings::seeds>(TextRule::kAddresses), false,
+       Text<kPeers, &PeersSettings::seeds>(TextRule::kRemoteAddresses), false,
        "Peers to ask for the routes before any other peer is known and while "
        "the store is unavailable. Used with the opaque interface."},
       {"peers", "max_frame_bytes",
