--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -82,7 +82,7 @@
 
 // Whether `text` is a list of comma-separated name=name pairs; spaces are
 // ignored.
-bool IsPairs(std::string text) {
+bool IsNamePairList(std::string text) {
   std::erase(text, ' ');
   std::size_t at = 0;
   while (at <= text.size()) {
@@ -133,7 +133,7 @@
     case TextRule::kRemoteAddresses:
       return CheckAddresses(text);
     case TextRule::kNamePairs:
-      if (!IsPairs(text)) {
+      if (!IsNamePairList(text)) {
         return "must be comma-separated name=name pairs";
       }
       return std::nullopt;
