--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -41,7 +41,7 @@
   return number;
 }
 
-bool IsNameLetter(char letter) {
+bool IsNameCharacter(char letter) {
   return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
          (letter >= '0' && letter <= '9') || letter == '.' || letter == '_' ||
          letter == '-';
@@ -49,7 +49,7 @@
 
 bool IsName(const std::string& text) {
   return !text.empty() && text.size() <= kMaxNameLength &&
-         std::all_of(text.begin(), text.end(), IsNameLetter);
+         std::all_of(text.begin(), text.end(), IsNameCharacter);
 }
 
 bool IsSecret(const std::string& text) {
