--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -41,10 +41,11 @@
   return number;
 }
 
-bool IsNameCharacter(char letter) {
-  return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
-         (letter >= '0' && letter <= '9') || letter == '.' || letter == '_' ||
-         letter == '-';
+bool IsNameCharacter(char character) {
+  return (character >= 'a' && character <= 'z') ||
+         (character >= 'A' && character <= 'Z') ||
+         (character >= '0' && character <= '9') || character == '.' ||
+         character == '_' || character == '-';
 }
 
 bool IsName(const std::string& text) {
@@ -54,8 +55,9 @@
 
 bool IsSecret(const std::string& text) {
   return text.size() >= kMinSecretLength && text.size() <= kMaxSecretLength &&
-         std::all_of(text.begin(), text.end(),
-                     [](char letter) { return letter > ' ' && letter <= '~'; });
+         std::all_of(text.begin(), text.end(), [](char character) {
+           return character > ' ' && character <= '~';
+         });
 }
 
 Problem CheckAddress(const std::string& text, bool is_remote) {
--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -51,8 +51,8 @@
   return nearest.empty() ? "" : "; did you mean " + nearest + "?";
 }
 
-bool IsBlank(char letter) {
-  return letter == ' ' || letter == '\t';
+bool IsBlank(char character) {
+  return character == ' ' || character == '\t';
 }
 
 bool HasPort(const std::string& address, std::string_view port) {
