--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -51,7 +51,7 @@
   return nearest.empty() ? "" : "; did you mean " + nearest + "?";
 }
 
-bool IsBlank(char character) {
+bool IsSpaceOrTab(char character) {
   return character == ' ' || character == '\t';
 }
 
@@ -105,7 +105,7 @@
   rest_.remove_prefix(end == std::string_view::npos ? rest_.size() : end + 1);
   // NOTE: the library treats an indented line as a continuation of the previous
   // value. Indentation is removed, so that an indented key is read as a key.
-  while (!line.empty() && IsBlank(line.front())) {
+  while (!line.empty() && IsSpaceOrTab(line.front())) {
     line.remove_prefix(1);
   }
   const auto room = static_cast<std::size_t>(size) - 1;
