--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -108,9 +108,9 @@
   while (!line.empty() && IsSpaceOrTab(line.front())) {
     line.remove_prefix(1);
   }
-  const auto room = static_cast<std::size_t>(size) - 1;
-  if (line.size() > room) {
-    Report(line_, "longer than " + std::to_string(room) + " bytes");
+  const auto max_length = static_cast<std::size_t>(size) - 1;
+  if (line.size() > max_length) {
+    Report(line_, "longer than " + std::to_string(max_length) + " bytes");
     line = {};
   }
   std::memcpy(buffer, line.data(), line.size());
