--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -209,9 +209,9 @@
 }
 
 void SettingsParser::Report(int line, const std::string& problem) {
-  const std::string place =
+  const std::string location =
       line > 0 ? name_ + ":" + std::to_string(line) : name_;
-  problems_.emplace(line, place + ": " + problem);
+  problems_.emplace(line, location + ": " + problem);
 }
 
 bool SettingsParser::has_key(const char* section, const char* name) const {
