--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -193,11 +193,12 @@
   const std::string& callers = settings_.callers.address;
   const std::string& operators = settings_.operators.address;
   const std::string& peers = settings_.peers.address;
-  const auto is_clash = [](const std::string& left, const std::string& right) {
+  const auto is_conflict = [](const std::string& left,
+                              const std::string& right) {
     return !left.empty() && left == right && !HasPort(left, "0");
   };
-  if (is_clash(callers, operators) || is_clash(callers, peers) ||
-      is_clash(operators, peers)) {
+  if (is_conflict(callers, operators) || is_conflict(callers, peers) ||
+      is_conflict(operators, peers)) {
     Report(0,
            "[callers], [operators] and [peers] must have different addresses");
   }
