--- a/tests/settings/template_test.cc
+++ b/tests/settings/template_test.cc
@@ -49,7 +49,7 @@
           {"bounds.retry_window_s", "10"}};
 }
 
-TEST(TemplateTest, IsWholeAndValid) {
+TEST(TemplateTest, IsCompleteAndValid) {
   const std::string text = Render(MakeValues());
   EXPECT_EQ(text.find("{{"), std::string::npos) << text;
   const auto settings = ParseSettings(text, "template");
