--- a/tests/settings/template_test.cc
+++ b/tests/settings/template_test.cc
@@ -59,7 +59,7 @@
 }
 
 // A daemon that rejected one of these values would not start.
-TEST(TemplateTest, EveryFigureMayHaveAFraction) {
+TEST(TemplateTest, EveryNumberMayHaveAFraction) {
   Values values = MakeValues();
   values["limits.cpu_share"] = "0.125";
   values["bounds.grace_s"] = "6.25";
