--- a/tests/settings/template_test.cc
+++ b/tests/settings/template_test.cc
@@ -73,7 +73,7 @@
   EXPECT_EQ(settings.value().extra_sends.window, base::Milliseconds(9'500));
 }
 
-TEST(TemplateTest, WholeFiguresWrittenAsFractionsAreFine) {
+TEST(TemplateTest, WholeNumbersMayHaveADecimalPoint) {
   Values values = MakeValues();
   for (const char* name :
        {"bounds.grace_s", "bounds.retry_slack", "bounds.retry_window_s"}) {
