--- a/tests/settings/load_settings_test.cc
+++ b/tests/settings/load_settings_test.cc
@@ -66,7 +66,7 @@
   EXPECT_EQ(settings.burn.flush, base::Milliseconds(2000));
 }
 
-TEST(LoadSettingsTest, DefaultsAndLimitsAreThemselvesValid) {
+TEST(LoadSettingsTest, DefaultsAndLimitsAreValid) {
   for (const Key& key : Keys()) {
     if (const auto* value = std::get_if<IntegerValue>(&key.value)) {
       DaemonSettings settings;
