--- a/src/base/boot_timer.h
+++ b/src/base/boot_timer.h
@@ -25,8 +25,7 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  // NOLINTNEXTLINE(readability-identifier-naming): the name that std::chrono
-  // requires.
+  // NOLINTNEXTLINE(readability-identifier-naming): std::chrono's name.
   static constexpr bool is_steady = true;
 
   static time_point now() {
