--- a/src/base/json_string.cc
+++ b/src/base/json_string.cc
@@ -1,4 +1,4 @@
-// Escaping and UTF-8 checks behind JsonString, and JsonNumber.
+// JSON string escaping with UTF-8 validation, and number formatting.
 
 #include "src/base/json_string.h"
 
@@ -19,8 +19,8 @@
 constexpr std::uint32_t kFirstSurrogate = 0xD800;
 constexpr std::uint32_t kLastSurrogate = 0xDFFF;
 
-// Number of bytes that a UTF-8 sequence with this first byte has; 0 if a
-// sequence can't begin with it.
+// The length of the UTF-8 sequence that starts with this byte; 0 if the byte
+// can't start a sequence.
 std::size_t SequenceLength(unsigned char first) {
   if (first >= 0xC2 && first <= 0xDF) {
     return 2;
@@ -34,13 +34,13 @@
   return 0;
 }
 
-// Whether the sequence encodes a code point, in its shortest form.
+// Whether the sequence is the shortest encoding of a valid code point.
 bool IsValidSequence(std::string_view bytes) {
   constexpr std::uint32_t kSmallest[] = {0, 0, 0x80, 0x800, 0x10000};
   const auto first = static_cast<unsigned char>(bytes.front());
   std::uint32_t code_point = first & (0xFFU >> (bytes.size() + 1));
-  for (const char letter : bytes.substr(1)) {
-    const auto byte = static_cast<unsigned char>(letter);
+  for (const char character : bytes.substr(1)) {
+    const auto byte = static_cast<unsigned char>(character);
     if ((byte & 0xC0) != 0x80) {
       return false;
     }
@@ -52,19 +52,19 @@
          code_point <= kLastCodePoint && !is_surrogate;
 }
 
-std::string EscapeAscii(char letter) {
+std::string EscapeAscii(char character) {
   constexpr const char* kDigits = "0123456789abcdef";
-  const auto byte = static_cast<unsigned char>(letter);
-  if (letter == '"' || letter == '\\') {
-    return {'\\', letter};
+  const auto byte = static_cast<unsigned char>(character);
+  if (character == '"' || character == '\\') {
+    return {'\\', character};
   }
-  if (letter == '\n') {
+  if (character == '\n') {
     return "\\n";
   }
   if (byte < kFirstPrintable || byte == 0x7F) {
     return std::string("\\u00") + kDigits[byte >> 4] + kDigits[byte & 0xF];
   }
-  return {letter};
+  return {character};
 }
 
 }  // namespace
--- a/src/base/loop_lag.cc
+++ b/src/base/loop_lag.cc
@@ -1,4 +1,4 @@
-// One measurement at a time.
+// Measures the loop lag with one probe task at a time.
 
 #include "src/base/loop_lag.h"
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-// An older measurement says nothing of now.
-constexpr Duration kLongestUse = Milliseconds(200);
+// Older measurements are ignored: they no longer reflect the current load.
+constexpr Duration kMaxMeasurementAge = Milliseconds(200);
 
 }  // namespace
 
@@ -20,21 +20,21 @@
 Duration LoopLag::Estimate() {
   const MonotonicTime now = clock_.Now();
   Duration lag{};
-  if (now - state_->measured <= kLongestUse) {
-    lag = state_->last;
+  if (now - state_->measured_at <= kMaxMeasurementAge) {
+    lag = state_->last_lag;
   }
   if (state_->tick_due != MonotonicTime{}) {
     lag = std::max(lag, now - state_->tick_due);
   }
-  if (state_->began != MonotonicTime{}) {
-    // The running one has taken this long already.
-    return std::max(lag, now - state_->began);
+  if (state_->probe_started != MonotonicTime{}) {
+    // The lag is at least the time that the pending probe has waited so far.
+    return std::max(lag, now - state_->probe_started);
   }
-  state_->began = now;
+  state_->probe_started = now;
   post_([state = state_, clock = clock_] {
-    state->measured = clock.Now();
-    state->last = state->measured - state->began;
-    state->began = {};
+    state->measured_at = clock.Now();
+    state->last_lag = state->measured_at - state->probe_started;
+    state->probe_started = {};
   });
   return lag;
 }
@@ -44,8 +44,8 @@
   const bool is_late =
       state_->tick_due != MonotonicTime{} && now > state_->tick_due;
   if (is_late) {
-    state_->last = now - state_->tick_due;
-    state_->measured = now;
+    state_->last_lag = now - state_->tick_due;
+    state_->measured_at = now;
   }
   state_->tick_due = due;
 }
--- a/src/base/nonblocking_output.cc
+++ b/src/base/nonblocking_output.cc
@@ -1,4 +1,4 @@
-// Lines, a bounded buffer and write().
+// Line buffering, the bounded backlog and the non-blocking write().
 
 #include "src/base/nonblocking_output.h"
 
@@ -7,19 +7,20 @@
 
 namespace medlarspread::base {
 
-NonblockingOutput::NonblockingOutput(int descriptor, std::size_t most_bytes)
-    : descriptor_(descriptor), most_bytes_(most_bytes) {
+NonblockingOutput::NonblockingOutput(int descriptor,
+                                     std::size_t max_pending_bytes)
+    : descriptor_(descriptor), max_pending_bytes_(max_pending_bytes) {
   const int flags = fcntl(descriptor_, F_GETFL);
   if (flags >= 0) {
     (void)fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
   }
 }
 
-NonblockingOutput::int_type NonblockingOutput::overflow(int_type letter) {
-  if (!traits_type::eq_int_type(letter, traits_type::eof())) {
-    line_ += traits_type::to_char_type(letter);
+NonblockingOutput::int_type NonblockingOutput::overflow(int_type character) {
+  if (!traits_type::eq_int_type(character, traits_type::eof())) {
+    line_ += traits_type::to_char_type(character);
   }
-  return traits_type::not_eof(letter);
+  return traits_type::not_eof(character);
 }
 
 std::streamsize NonblockingOutput::xsputn(const char* text,
@@ -29,40 +30,40 @@
 }
 
 int NonblockingOutput::sync() {
-  WriteOut();
-  TakeLine();
-  WriteOut();
+  WritePending();
+  FinishLine();
+  WritePending();
   return 0;
 }
 
-void NonblockingOutput::TakeLine() {
+void NonblockingOutput::FinishLine() {
   if (line_.empty()) {
     return;
   }
-  if (waiting_.size() + line_.size() > most_bytes_) {
+  if (pending_.size() + line_.size() > max_pending_bytes_) {
     ++dropped_;
-    ++dropped_untold_;
+    ++unreported_drops_;
   } else {
-    if (dropped_untold_ > 0) {
-      waiting_ += R"({"level":"warning","step":"log","message":")" +
-                  std::to_string(dropped_untold_) +
-                  " lines were dropped, since the reader is slow\"}\n";
-      dropped_untold_ = 0;
+    if (unreported_drops_ > 0) {
+      pending_ += R"({"level":"warning","step":"log","message":")" +
+                  std::to_string(unreported_drops_) +
+                  " lines were dropped because the reader is too slow\"}\n";
+      unreported_drops_ = 0;
     }
-    waiting_ += line_;
+    pending_ += line_;
   }
   line_.clear();
 }
 
-void NonblockingOutput::WriteOut() {
-  while (!waiting_.empty()) {
+void NonblockingOutput::WritePending() {
+  while (!pending_.empty()) {
     const ssize_t written =
-        ::write(descriptor_, waiting_.data(), waiting_.size());
-    // Full, or gone: what waits is tried again with the next line.
+        ::write(descriptor_, pending_.data(), pending_.size());
+    // The pipe is full or the reader is gone: retried with the next line.
     if (written <= 0) {
       return;
     }
-    waiting_.erase(0, static_cast<std::size_t>(written));
+    pending_.erase(0, static_cast<std::size_t>(written));
   }
 }
 
--- a/src/settings/key.cc
+++ b/src/settings/key.cc
@@ -1,4 +1,4 @@
-// Checking, setting and showing the value of one key.
+// Validates, sets and prints the value of one key.
 
 #include "src/settings/key.h"
 
@@ -41,21 +41,23 @@
   return number;
 }
 
-bool IsNameLetter(char letter) {
-  return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
-         (letter >= '0' && letter <= '9') || letter == '.' || letter == '_' ||
-         letter == '-';
+bool IsNameCharacter(char character) {
+  return (character >= 'a' && character <= 'z') ||
+         (character >= 'A' && character <= 'Z') ||
+         (character >= '0' && character <= '9') || character == '.' ||
+         character == '_' || character == '-';
 }
 
 bool IsName(const std::string& text) {
   return !text.empty() && text.size() <= kMaxNameLength &&
-         std::all_of(text.begin(), text.end(), IsNameLetter);
+         std::all_of(text.begin(), text.end(), IsNameCharacter);
 }
 
 bool IsSecret(const std::string& text) {
   return text.size() >= kMinSecretLength && text.size() <= kMaxSecretLength &&
-         std::all_of(text.begin(), text.end(),
-                     [](char letter) { return letter > ' ' && letter <= '~'; });
+         std::all_of(text.begin(), text.end(), [](char character) {
+           return character > ' ' && character <= '~';
+         });
 }
 
 Problem CheckAddress(const std::string& text, bool is_remote) {
@@ -66,8 +68,8 @@
   boost::system::error_code code;
   const auto ip = boost::asio::ip::make_address_v4(text.substr(0, colon), code);
   if (code) {
-    return "must be ip:port with an IPv4 number, such as 10.0.0.1:8080; names "
-           "are not looked up";
+    return "must be ip:port with an IPv4 address, such as 10.0.0.1:8080; host "
+           "names are not resolved";
   }
   const auto port = ParseInteger(text.substr(colon + 1));
   const std::int64_t min_port = is_remote ? 1 : 0;
@@ -80,8 +82,9 @@
   return std::nullopt;
 }
 
-// "key=value" with commas between, blanks around each allowed.
-bool IsPairs(std::string text) {
+// Whether `text` is a list of comma-separated name=name pairs; spaces are
+// ignored.
+bool IsNamePairList(std::string text) {
   std::erase(text, ' ');
   std::size_t at = 0;
   while (at <= text.size()) {
@@ -121,7 +124,7 @@
       return CheckAddress(text, true);
     case TextRule::kSecret:
       if (!IsSecret(text)) {
-        return "must be 8 to 256 printable characters without blanks";
+        return "must be 8 to 256 printable characters without spaces";
       }
       return std::nullopt;
     case TextRule::kPath:
@@ -129,11 +132,11 @@
         return "must not be empty";
       }
       return std::nullopt;
-    case TextRule::kAddresses:
+    case TextRule::kRemoteAddresses:
       return CheckAddresses(text);
-    case TextRule::kPairs:
-      if (!IsPairs(text)) {
-        return "must be name=name with commas between";
+    case TextRule::kNamePairs:
+      if (!IsNamePairList(text)) {
+        return "must be comma-separated name=name pairs";
       }
       return std::nullopt;
   }
@@ -197,7 +200,7 @@
   }
 };
 
-struct Shower {
+struct ValueFormatter {
   const DaemonSettings& settings;
 
   std::string operator()(const TextValue& value) const {
@@ -230,10 +233,10 @@
         return "8 to 256 printable characters";
       case TextRule::kPath:
         return "a path";
-      case TextRule::kPairs:
-        return "name=name with commas between";
-      case TextRule::kAddresses:
-        return "ip:port with commas between";
+      case TextRule::kNamePairs:
+        return "comma-separated name=name pairs";
+      case TextRule::kRemoteAddresses:
+        return "comma-separated ip:port addresses";
     }
     return "";
   }
@@ -256,8 +259,8 @@
   return std::visit(Setter{text, settings}, key.value);
 }
 
-std::string ShowKey(const Key& key, const DaemonSettings& settings) {
-  return std::visit(Shower{settings}, key.value);
+std::string FormatKey(const Key& key, const DaemonSettings& settings) {
+  return std::visit(ValueFormatter{settings}, key.value);
 }
 
 std::string DescribeRange(const Key& key) {
--- a/src/settings/settings_parser.cc
+++ b/src/settings/settings_parser.cc
@@ -1,4 +1,4 @@
-// Checks of the settings file, one key at a time and then as a whole.
+// Checks each key of the settings file, and then the settings as a whole.
 
 #include "src/settings/settings_parser.h"
 
@@ -16,7 +16,7 @@
 
 constexpr int kMinHeartbeatsUntilGone = 3;
 
-// All sections, each once.
+// The names of all sections, without duplicates.
 std::vector<std::string> SectionNames() {
   std::set<std::string> sections;
   for (const Key& key : Keys()) {
@@ -51,8 +51,8 @@
   return nearest.empty() ? "" : "; did you mean " + nearest + "?";
 }
 
-bool IsBlank(char letter) {
-  return letter == ' ' || letter == '\t';
+bool IsSpaceOrTab(char character) {
+  return character == ' ' || character == '\t';
 }
 
 bool HasPort(const std::string& address, std::string_view port) {
@@ -63,12 +63,12 @@
 
 base::Result<DaemonSettings> SettingsParser::Parse() {
   if (rest_.find('\0') != std::string_view::npos) {
-    Report(0, "holds a zero byte: not a text file");
+    Report(0, "contains a zero byte; not a text file");
     rest_ = {};
   }
-  const int bad_line = ini_parse_stream(DidAskForLine, this, DidFindKey, this);
+  const int bad_line = ini_parse_stream(DidRequestLine, this, DidFindKey, this);
   if (bad_line > 0) {
-    Report(bad_line, "neither [section], key = value nor a comment");
+    Report(bad_line, "not a [section], key = value or comment line");
   }
   CheckRequiredKeys();
   CheckRelations();
@@ -83,7 +83,7 @@
                          base::Step::kSettings, "", std::move(detail));
 }
 
-char* SettingsParser::DidAskForLine(char* buffer, int size, void* parser) {
+char* SettingsParser::DidRequestLine(char* buffer, int size, void* parser) {
   return static_cast<SettingsParser*>(parser)->ReadLine(buffer, size);
 }
 
@@ -103,14 +103,14 @@
   const auto end = rest_.find('\n');
   std::string_view line = rest_.substr(0, end);
   rest_.remove_prefix(end == std::string_view::npos ? rest_.size() : end + 1);
-  // NOTE: the library takes an indented line as part of the value before it;
-  // here an indented key is a key.
-  while (!line.empty() && IsBlank(line.front())) {
+  // NOTE: the library treats an indented line as a continuation of the previous
+  // value. Indentation is removed, so that an indented key is read as a key.
+  while (!line.empty() && IsSpaceOrTab(line.front())) {
     line.remove_prefix(1);
   }
-  const auto room = static_cast<std::size_t>(size) - 1;
-  if (line.size() > room) {
-    Report(line_, "longer than " + std::to_string(room) + " bytes");
+  const auto max_length = static_cast<std::size_t>(size) - 1;
+  if (line.size() > max_length) {
+    Report(line_, "longer than " + std::to_string(max_length) + " bytes");
     line = {};
   }
   std::memcpy(buffer, line.data(), line.size());
@@ -141,7 +141,7 @@
 void SettingsParser::ReportUnknown(const std::string& section,
                                    const std::string& name) {
   if (section.empty()) {
-    Report(line_, "key " + name + " stands before any [section]");
+    Report(line_, "key " + name + " is before the first [section]");
     return;
   }
   const std::vector<std::string> names = KeyNames(section);
@@ -166,9 +166,11 @@
     }
   }
   if (settings_.callers.interface == CallerInterface::kOpaque) {
-    // The operators of this interface write to the store; nobody signs in.
+    // No token is needed: with this interface operators write to the store
+    // instead of using the administration API.
     if (settings_.callers.readiness_address.empty()) {
-      Report(0, "[callers] readiness_address is required with opaque requests");
+      Report(0,
+             "[callers] readiness_address is required with interface = opaque");
     }
     return;
   }
@@ -191,24 +193,26 @@
   const std::string& callers = settings_.callers.address;
   const std::string& operators = settings_.operators.address;
   const std::string& peers = settings_.peers.address;
-  const auto is_clash = [](const std::string& left, const std::string& right) {
+  const auto is_conflict = [](const std::string& left,
+                              const std::string& right) {
     return !left.empty() && left == right && !HasPort(left, "0");
   };
-  if (is_clash(callers, operators) || is_clash(callers, peers) ||
-      is_clash(operators, peers)) {
-    Report(0, "[callers], [operators] and [peers] need different addresses");
+  if (is_conflict(callers, operators) || is_conflict(callers, peers) ||
+      is_conflict(operators, peers)) {
+    Report(0,
+           "[callers], [operators] and [peers] must have different addresses");
   }
   if (peers.rfind("0.0.0.0:", 0) == 0) {
     Report(0,
-           "[peers] address must not be 0.0.0.0: the other daemons are told to "
-           "connect to it");
+           "[peers] address must not be 0.0.0.0: the other daemons connect to "
+           "it");
   }
 }
 
 void SettingsParser::Report(int line, const std::string& problem) {
-  const std::string place =
+  const std::string location =
       line > 0 ? name_ + ":" + std::to_string(line) : name_;
-  problems_.emplace(line, place + ": " + problem);
+  problems_.emplace(line, location + ": " + problem);
 }
 
 bool SettingsParser::has_key(const char* section, const char* name) const {
--- a/tests/base/loop_lag_test.cc
+++ b/tests/base/loop_lag_test.cc
@@ -1,3 +1,5 @@
+// The lag is measured with a probe task and by late ticks, and expires soon.
+
 #include "src/base/loop_lag.h"
 
 #include <deque>
@@ -24,27 +26,27 @@
                }};
 };
 
-TEST_F(LoopLagTest, AnIdleLoopHasNone) {
+TEST_F(LoopLagTest, IdleLoopHasNoLag) {
   EXPECT_EQ(lag_.Estimate(), Duration{});
   RunAll();
   EXPECT_EQ(lag_.Estimate(), Duration{});
 }
 
-TEST_F(LoopLagTest, IsTheTimeUntilTheTaskRan) {
+TEST_F(LoopLagTest, IsTheDelayOfTheProbe) {
   (void)lag_.Estimate();
   time_->Advance(Milliseconds(40));
   RunAll();
   EXPECT_EQ(lag_.Estimate(), Milliseconds(40));
 }
 
-TEST_F(LoopLagTest, GrowsWhileTheTaskStillWaits) {
+TEST_F(LoopLagTest, GrowsWhileTheProbeIsPending) {
   (void)lag_.Estimate();
   time_->Advance(Milliseconds(70));
   EXPECT_EQ(lag_.Estimate(), Milliseconds(70));
   EXPECT_EQ(tasks_.size(), 1U);
 }
 
-TEST_F(LoopLagTest, IsForgottenSoon) {
+TEST_F(LoopLagTest, MeasurementExpires) {
   (void)lag_.Estimate();
   time_->Advance(Milliseconds(40));
   RunAll();
@@ -52,9 +54,9 @@
   EXPECT_EQ(lag_.Estimate(), Duration{});
 }
 
-// A frozen VM wakes with requests that are as old as the freeze was long; the
-// tick may run before or after they are read.
-TEST_F(LoopLagTest, ALateTickShowsThatTheThreadStoodStill) {
+// When a frozen VM resumes, its pending requests may have waited as long as the
+// freeze lasted; the tick may run before or after they are read.
+TEST_F(LoopLagTest, LateTickShowsThatTheThreadWasBlocked) {
   lag_.ExpectTick({2'000'000});
   time_->Advance(Milliseconds(4'000));
   EXPECT_EQ(lag_.Estimate(), Milliseconds(3'000));
@@ -62,12 +64,12 @@
   lag_.ExpectTick({6'000'000});
   EXPECT_EQ(lag_.Estimate(), Milliseconds(3'000));
   RunAll();
-  // It is forgotten a moment later.
+  // The measurement expires soon after.
   time_->Advance(Milliseconds(500));
   EXPECT_EQ(lag_.Estimate(), Duration{});
 }
 
-TEST_F(LoopLagTest, ATickInTimeShowsNothing) {
+TEST_F(LoopLagTest, TickOnTimeAddsNoLag) {
   lag_.ExpectTick({2'000'000});
   time_->Advance(Milliseconds(900));
   EXPECT_EQ(lag_.Estimate(), Duration{});
--- a/tests/base/nonblocking_output_test.cc
+++ b/tests/base/nonblocking_output_test.cc
@@ -1,4 +1,5 @@
-// NonblockingOutput against a reader that does not read.
+// NonblockingOutput with a reader that doesn't read: no write blocks, and
+// dropped lines are reported.
 
 #include "src/base/nonblocking_output.h"
 
@@ -40,7 +41,7 @@
   EXPECT_EQ(ReadAll(), "one 1\ntwo\n");
 }
 
-TEST_F(NonblockingOutputTest, NeverWaitsAndSaysWhatItDropped) {
+TEST_F(NonblockingOutputTest, NeverBlocksAndReportsDroppedLines) {
   NonblockingOutput output(ends_[1], 4096);
   std::ostream stream(&output);
   const std::string line(999, 'x');
@@ -52,9 +53,9 @@
   std::string all = ReadAll();
   stream << "last\n" << std::flush;
   all += ReadAll();
-  const std::string said =
+  const std::string expected_report =
       std::to_string(output.dropped_lines()) + " lines were dropped";
-  EXPECT_NE(all.find(said), std::string::npos);
+  EXPECT_NE(all.find(expected_report), std::string::npos);
   EXPECT_EQ(all.substr(all.size() - 5), "last\n");
 }
 
--- a/tests/settings/template_test.cc
+++ b/tests/settings/template_test.cc
@@ -1,4 +1,5 @@
-// The template of the platform's settings, filled in with what it may hold.
+// The settings template for the platform is valid with all values that the
+// platform may fill in.
 
 #include <fstream>
 #include <iterator>
@@ -48,7 +49,7 @@
           {"bounds.retry_window_s", "10"}};
 }
 
-TEST(TemplateTest, IsWholeAndValid) {
+TEST(TemplateTest, IsCompleteAndValid) {
   const std::string text = Render(MakeValues());
   EXPECT_EQ(text.find("{{"), std::string::npos) << text;
   const auto settings = ParseSettings(text, "template");
@@ -57,8 +58,8 @@
   EXPECT_EQ(settings.value().extra_sends.slack, 58.0);
 }
 
-// A daemon that refused one of these would not start at all.
-TEST(TemplateTest, EveryFigureMayHaveAFraction) {
+// A daemon that rejected one of these values would not start.
+TEST(TemplateTest, EveryNumberMayHaveAFraction) {
   Values values = MakeValues();
   values["limits.cpu_share"] = "0.125";
   values["bounds.grace_s"] = "6.25";
@@ -72,7 +73,7 @@
   EXPECT_EQ(settings.value().extra_sends.window, base::Milliseconds(9'500));
 }
 
-TEST(TemplateTest, WholeFiguresWrittenAsFractionsAreFine) {
+TEST(TemplateTest, WholeNumbersMayHaveADecimalPoint) {
   Values values = MakeValues();
   for (const char* name :
        {"bounds.grace_s", "bounds.retry_slack", "bounds.retry_window_s"}) {
