--- a/tests/fleet/address_reuse_test.cc
+++ b/tests/fleet/address_reuse_test.cc
@@ -1,22 +1,26 @@
-// What was seen: the leaves of one shard got a quarter more sends beyond the
-// first of their request than all daemons together may send them. No other
-// shard got more than usual, and callers were answered late.
+// Guards against too many sends to a shard whose leaf got the address of an
+// ended leaf of another shard.
 //
-// How it came about: a leaf ended while the store was away, so that daemons
-// went on with its entry. Two seconds later a leaf of another shard started at
-// its address. The other leaves of the first shard were slow, or had no
-// connection free, and the one that had ended was tried again and again.
+// The failure: the leaves of one shard received a quarter more sends beyond the
+// first of each request than all daemons together are allowed to send. No other
+// shard received more than usual, and callers were answered late.
 //
-// What caused it: "another leaf has this address" was taken for a passing
-// failure. The leaf had room again a moment later, and its quick refusals made
-// it look better than leaves that answer late. Such a send is the first of its
-// request to the one shard, so nothing pays for it, and one more of it to the
-// other shard, whose leaf it reaches.
+// How it came about: a leaf ended during a store outage, so the daemons kept
+// its entry. Two seconds later a leaf of another shard started at the same
+// address. The other leaves of the first shard were slow or had no free
+// connection, so the daemons kept retrying the leaf that had ended.
 //
-// What proved it: the leaf at that address turned away as many sends as the
-// shard got too many, from the second of its start to that in which the entry
-// of the old leaf went. In virtual time the same brings the same about, and
-// without the sends to leaves that were replaced nothing is left of it.
+// The cause: the error that another leaf now has the address was treated as
+// transient. The leaf had capacity again a moment later, and its quick refusals
+// made it look better than leaves that reply late. Such a send counts as the
+// first send of its request to the old leaf's shard, so the extra-send budget
+// isn't charged, but it arrives as an additional send at the shard of the new
+// leaf.
+//
+// The evidence: from the second in which it started until the old leaf's entry
+// was removed, the new leaf refused as many sends as its shard received in
+// excess. The simulation in virtual time reproduces the failure, and it
+// disappears when no sends go to replaced leaves.
 
 #include <cstdint>
 
@@ -32,7 +36,7 @@
 
 constexpr std::uint64_t kSeeds = 4;
 
-// A leaf of shard 3 ends and its address goes to a leaf of shard 4; the two
+// A leaf of shard 3 ends and a leaf of shard 4 starts at its address; the two
 // other leaves of shard 3 are slow.
 FleetPlan WithReusedAddress(FleetPlan plan) {
   const std::string shard = CollectionName(3);
--- a/tests/fleet/deadly_request_test.cc
+++ b/tests/fleet/deadly_request_test.cc
@@ -1,17 +1,20 @@
-// What was seen: every few seconds all leaves of all shards ended within a
+// Guards against a request that crashes every leaf that runs it.
+//
+// The failure: every few seconds all leaves of all shards ended within a
 // second, and most requests to all shards were refused or failed until the
-// leaves were back; then it began again, three times in a minute.
+// leaves had restarted. This repeated three times in a minute.
 //
-// How it came about: one caller sent one request. Each leaf that began to run
-// it ended. Each shard was sent to its second leaf, which ended too. The caller
-// came back under a new identifier, at another daemon, which had never heard of
-// the request, and the leaves of the last failure domain ended.
+// How it came about: one caller sent one request. Each leaf that started it
+// crashed. The request was sent to a second leaf of each shard, which crashed
+// too. The caller retried under a new request identifier at another daemon,
+// which had no record of the request, and the leaves of the last failure domain
+// crashed.
 //
-// What caused it: nothing in the system knew a request again. What ended under
-// a request was booked on the leaves only.
+// The cause: nothing recognized a repeated request. A crash during a request
+// was recorded only against the leaf.
 //
-// What proved it: in virtual time one such request among ordinary ones brings
-// the same about, and nothing else ends a leaf.
+// The evidence: in virtual time one such request among ordinary ones reproduces
+// the failure, and nothing else ends a leaf.
 
 #include <cstdint>
 #include <tuple>
@@ -28,7 +31,7 @@
 
 constexpr std::uint64_t kSeeds = 2;
 
-// Comes every four seconds, six times, to all shards.
+// The request is sent to all shards six times, every four seconds.
 FleetPlan WithDeadlyRequest(FleetPlan plan) {
   plan.tells = true;
   plan.length = Milliseconds(28'000);
@@ -40,8 +43,8 @@
   return plan;
 }
 
-// Four seconds after the third leaf has ended under it, it may reach leaves in
-// three tries more, over all daemons.
+// From four seconds after the third leaf has crashed on it, at most three more
+// attempts of the request may reach leaves, counted over all daemons.
 TEST(DeadlyRequestTest, ReachesFewLeavesOnceThreeHaveEnded) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (const FleetPlan& fleet : {SmallFleet(seed), LargeFleet(seed)}) {
@@ -54,7 +57,8 @@
   }
 }
 
-// The small fleet with a class of work on a collection of nine leaves.
+// The small fleet with an additional class that is served by one collection of
+// nine leaves.
 FleetPlan WithSingle(std::uint64_t seed, bool is_idempotent) {
   FleetPlan plan = SmallFleet(seed);
   plan.tells = true;
@@ -76,8 +80,8 @@
   return plan;
 }
 
-// Plays the plan and expects that all is kept; how many tries reached leaves
-// once the request should have been known.
+// Runs the plan and expects no violations. Returns how many attempts reached
+// leaves after the request should have been quarantined.
 int ExpectKnown(const FleetPlan& plan) {
   const FleetReport report = VirtualFleet(plan).Run();
   EXPECT_EQ(report.violations, std::vector<std::string>{})
@@ -92,7 +96,7 @@
   }
 }
 
-// Each try reaches one leaf: the third one shows it.
+// Each attempt reaches one leaf only, so the third attempt reveals the request.
 TEST(DeadlyRequestTest, ThatMayRunOnceIsKnownToo) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyFetch(seed, false);
@@ -102,7 +106,7 @@
   }
 }
 
-// The store remembers it.
+// The store keeps the quarantine entry.
 TEST(DeadlyRequestTest, IsKnownAfterTheLossOfAllPower) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
@@ -112,9 +116,10 @@
   }
 }
 
-// Nobody remembers it; it is found out anew. A daemon that has just started and
-// hears nothing of the store is not bound by the three tries: here all tries
-// count, and four are the most that was seen.
+// No quarantine entry survives, so the request has to be detected again. The
+// limit of three attempts does not apply to a daemon that has just started and
+// can't reach the store: here all attempts count, and four are the most that
+// was observed.
 TEST(DeadlyRequestTest, IsFoundOutAnewIfAllPowerGoesWithTheStoreAway) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
@@ -127,7 +132,7 @@
   }
 }
 
-// The daemons tell each other.
+// The daemons inform each other.
 TEST(DeadlyRequestTest, IsKnownWithTheStoreAway) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
@@ -145,7 +150,7 @@
   }
 }
 
-// A third of the daemons stands still while it is found out.
+// A third of the daemons is frozen while the request is detected.
 TEST(DeadlyRequestTest, IsKnownToDaemonsThatStoodStill) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
@@ -166,8 +171,8 @@
   }
 }
 
-// The others are served while it comes again and again: each shard keeps a
-// leaf.
+// Other requests are served while the deadly one keeps coming: each shard keeps
+// a leaf.
 TEST(DeadlyRequestTest, TheOthersAreServed) {
   CallerCounts counts;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -179,8 +184,8 @@
   EXPECT_GT(counts.share_in_time(), 0.9);
 }
 
-// Leaves that end for reasons of their own: some alone, some in turn, a third
-// of all at once, all of one collection at once.
+// Leaves that crash for reasons unrelated to requests: single leaves, leaves in
+// succession, a third of all at once, and all leaves of one collection at once.
 FleetPlan WithCrashes(std::uint64_t seed) {
   FleetPlan plan = WithSingle(seed, seed % 2 == 0);
   plan.length = Milliseconds(28'000);
@@ -198,8 +203,8 @@
   return plan;
 }
 
-// Besides, all leaves of one collection are back for 50 ms at a time only,
-// three times in a row: whatever they are asked then ends with them.
+// In addition, all leaves of one collection are up for only 50 ms at a time,
+// three times in a row: whatever request they receive then crashes with them.
 FleetPlan WithCrashLoop(std::uint64_t seed) {
   FleetPlan plan = WithCrashes(seed);
   plan.length = Milliseconds(100'000);
@@ -211,8 +216,9 @@
   return plan;
 }
 
-// Whether callers always ask the same, one of twenty things, or never the same
-// twice: no request is kept from leaves that end without it.
+// Whether callers always send the same request, one of twenty, or never the
+// same twice: no request is blocked because of leaves that crash for unrelated
+// reasons.
 TEST(DeadlyRequestTest, NobodyIsConvictedOfLeavesThatEndByThemselves) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     for (const int targets : {1, 20, 0}) {
@@ -233,10 +239,10 @@
   return VirtualFleet(plan).Run();
 }
 
-// A service that can't live convicts what it is asked most, as no evidence
-// tells the two apart. That is cleared a minute later by one try that is
-// answered. Each run is a test of its own, since all of them together take
-// more than a minute.
+// A service in a crash loop gets its most frequent request quarantined, because
+// no evidence tells the two causes apart. The entry is cleared a minute later
+// by one trial that is answered. Each run is a test of its own, since all of
+// them together take more than a minute.
 class CrashLoopTest
     : public testing::TestWithParam<std::tuple<std::uint64_t, int>> {};
 
@@ -252,7 +258,8 @@
                          testing::Combine(testing::Range<std::uint64_t>(1, 14),
                                           testing::Values(1, 20)));
 
-// Three of the runs above; without a conviction they would show nothing.
+// Three of the runs above. If none of them quarantined a request, CrashLoopTest
+// would prove nothing.
 TEST(DeadlyRequestTest, SomeCrashLoopsConvict) {
   const int convicted = RunCrashLoop(9, 20).verdicts +
                         RunCrashLoop(12, 20).verdicts +
--- a/tests/fleet/handed_over_repeats_test.cc
+++ b/tests/fleet/handed_over_repeats_test.cc
@@ -1,6 +1,7 @@
-// Sends that are the first of their request in the sender's books, and not at
-// the leaf: parts that one daemon hands to another. Found by the leaves' own
-// count, while the cause of another shard's repeats was looked for elsewhere.
+// Guards against uncounted repeats: a part of a request that one daemon hands
+// over to another was counted as a first send by the receiving daemon, although
+// the leaf had already received it. The leaves' own counts revealed this during
+// the search for the cause of another shard's repeats.
 
 #include <cstdint>
 
@@ -25,8 +26,8 @@
   return plan;
 }
 
-// No daemon hears what another one answers. The route leaves room for another
-// aggregator after the first.
+// No daemon receives the replies of other daemons. The route allows enough
+// attempts for a second aggregator after the first.
 FleetPlan WithMuteDaemons(std::uint64_t seed) {
   FleetPlan plan = LargeFleet(seed);
   plan.classes.front().most_attempts = 4;
--- a/tests/fleet/load_patterns_test.cc
+++ b/tests/fleet/load_patterns_test.cc
@@ -1,6 +1,8 @@
-// The heaviest loads, played in virtual time on several seeds: what callers
-// must be served at the least. The bars stand below what was measured by about
-// the spread of the seeds; what a bar defends is written beside it.
+// Runs the heaviest load patterns in virtual time on several seeds and checks
+// the minimum service that callers must get. Each threshold is below the
+// measured value by about the spread between seeds; the comment at each test
+// says which regression it guards against. Earlier results in these comments
+// are mean credits.
 
 #include <algorithm>
 
@@ -14,7 +16,8 @@
 
 constexpr std::uint64_t kSeeds = 8;
 
-// The seconds that the pattern is about, over all seeds.
+// Sums the callers' counts over the seconds that the pattern is about, over all
+// seeds.
 CallerCounts Play(const char* name, std::uint64_t seeds = kSeeds) {
   const Pattern* pattern = FindPattern(name);
   CallerCounts all;
@@ -27,27 +30,30 @@
   return all;
 }
 
-// Pauses of the leaves alone cost callers nothing: second sends go round them.
+// Pauses of leaves alone cost callers nothing, because second sends go to other
+// leaves.
 TEST(LoadPatternsTest, PausesCostNothing) {
   EXPECT_GT(Play("calm").mean_credit(), 0.997);
 }
 
-// What calm seconds earned is there when the leaves begin to lose answers, and
-// the leaves that lose them are gone round while another one is in time. With a
-// bucket that saved up three sends and failures that cost 80 ms it was 0.873.
+// The second-send budget earned in calm seconds is available when leaves begin
+// to lose replies, and those leaves are avoided while another leaf replies in
+// time. With a bucket that saved up three sends and a failure penalty of 80 ms
+// the result was 0.873.
 TEST(LoadPatternsTest, LeavesThatLoseAnswersAreGoneRound) {
   EXPECT_GT(Play("resets").mean_credit(), 0.885);
 }
 
-// A request that may run once only and whose answer is lost is lost for good.
-// With failures that cost 80 ms it was 0.940.
+// An at-most-once request whose reply is lost can't be retried. With a failure
+// penalty of 80 ms the result was 0.940.
 TEST(LoadPatternsTest, RequestsThatCantRepeatGoRoundLeavesThatFail) {
   EXPECT_GT(Play("resets_single").mean_credit(), 0.98);
 }
 
-// The leaves answer a third of what is asked. Who gets none of that is answered
-// without the shard at once: at the median in less than half of the target.
-// When all were sent, all waited for the target, and 0.812 was the credit.
+// The leaves can answer a third of the requests. The other requests are
+// answered at once without the shard: the median latency is less than half of
+// the target. When all requests were sent, all of them waited for the target,
+// and the result was 0.812.
 TEST(LoadPatternsTest, AShardThatIsSlowAllOverHoldsUpNobody) {
   const CallerCounts counts = Play("slow_shard");
   EXPECT_GT(counts.mean_credit(), 0.82);
@@ -71,47 +77,51 @@
   EXPECT_GT(Play("sheds").mean_credit(), 0.93);
 }
 
-// Requests that lost the race to a second send are cancelled, but for one a
-// leaf, so that they take no slots from those that callers wait for. When all
-// of them went on for 250 ms it was 0.713.
-// Nor is anything sent of a request that lacks a leaf with room at too many
-// shards; when it was, 0.803.
+// Sends that lost the race to a second send are cancelled, except for one per
+// leaf, so that they don't occupy slots needed by requests that callers wait
+// for. When all of them continued for 250 ms, the result was 0.713. A request
+// for which too many shards have no leaf with capacity is not sent at all; when
+// it was, the result was 0.803.
 TEST(LoadPatternsTest, InABurstLeavesWorkForThoseThatAreAnswered) {
   EXPECT_GT(Play("burst").mean_credit(), 0.84);
 }
 
-// A fleet that comes back knows nothing of its leaves, whose connections are
-// still held by the daemons of before. With all losers going on it was 0.841.
+// After a restart the fleet has no latency data on its leaves, whose
+// connections are still held by the previous daemon processes. When all sends
+// that lost the race continued, the result was 0.841.
 TEST(LoadPatternsTest, AFleetThatLostPowerServesAgainAtOnce) {
   EXPECT_GT(Play("power_loss").mean_credit(), 0.85);
 }
 
-// 195 daemons and nothing to learn: what they tell each other costs nothing.
+// 195 daemons with nothing to learn: the reports that they exchange must not
+// reduce service.
 TEST(LargeLoadPatternsTest, ALargeFleetInCalmServesAll) {
   EXPECT_GT(Play("large_calm", 2).mean_credit(), 0.997);
 }
 
-// Each of 195 daemons sends one request in eight seconds. Alone, each finds out
-// by itself that half of the leaves are slow: 0.618.
+// Each of 195 daemons sends one request in eight seconds. When each daemon had
+// to detect by itself that half of the leaves are slow, the result was 0.618.
 TEST(LargeLoadPatternsTest, ALargeFleetLearnsTogetherWhichLeavesAreSlow) {
   EXPECT_GT(Play("large_slow_single").mean_credit(), 0.93);
 }
 
-// The same of leaves that lose one answer in twelve, for requests that may run
-// once only. Alone 0.925.
+// The same with leaves that lose one reply in twelve, for at-most-once
+// requests. Without exchanged reports the result was 0.925.
 TEST(LargeLoadPatternsTest, ALargeFleetLearnsTogetherWhichLeavesLoseAnswers) {
   EXPECT_GT(Play("large_resets_single").mean_credit(), 0.94);
 }
 
-// A fifth of the daemons stands still for three seconds, aggregators too. Who
-// asks one of them is late, since a caller gives it up after a third of its
-// time; who asks another daemon is to be answered.
+// A fifth of the daemons, aggregators among them, is frozen for three seconds.
+// A request sent to a frozen daemon is late, since its caller gives that daemon
+// up only after a third of the request's time; requests sent to other daemons
+// must be answered.
 TEST(LargeLoadPatternsTest, FrozenAggregatorsCostFewAnswers) {
   const CallerCounts counts = Play("large_frozen", 4);
   EXPECT_LT(counts.failed + counts.refused, 0.04 * counts.asked);
 }
 
-// Deployments that nobody has tuned anything for: no invariant breaks.
+// Randomly drawn deployments, for which no setting was tuned: no invariant is
+// violated.
 class DrawnFleetTest : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(DrawnFleetTest, KeepsItsPromises) {
--- a/tests/fleet/virtual_fleet_test.cc
+++ b/tests/fleet/virtual_fleet_test.cc
@@ -1,5 +1,5 @@
-// The virtual fleet itself: the same seed gives the same run, and its checks
-// see what they are for.
+// Tests of the virtual fleet itself: the same seed gives the same run, and its
+// checks detect the violations that they exist for.
 
 #include "emulator/fleet/virtual_fleet.h"
 
@@ -33,8 +33,8 @@
             counts.in_time + counts.late + counts.refused + counts.failed);
 }
 
-// What the leaves are said to bear is cut to nothing only for the check: the
-// daemons still spend what they are told.
+// The extra-send bound is set to nearly zero only for the check, while the
+// daemons still use their configured one.
 TEST(VirtualFleetTest, SeesTooManyExtraSends) {
   FleetPlan plan = ShortPlan(1);
   plan.checked_extra_sends = admission::ExtraSendBound{0.0, 1.0};
