--- a/tests/failure/answer_test.cc
+++ b/tests/failure/answer_test.cc
@@ -1,5 +1,6 @@
-// Promises on answers: one snapshot, true coverage, the whole answer to the
-// caller's own request, and refusals that are true.
+// Tests of the guarantees on answers: each answer comes from one snapshot,
+// states its true coverage and is the complete answer to the caller's own
+// request, and a request that is refused as not executed was not executed.
 
 #include <atomic>
 #include <thread>
@@ -11,7 +12,7 @@
 
 using emulator::Violation;
 
-// What became of a series of requests.
+// Counts the outcomes of a series of requests.
 struct Outcomes {
   int whole = 0;
   int partial = 0;
@@ -22,8 +23,8 @@
 
 class AnswerTest : public FailureTest {
  protected:
-  // Asks `count` times, `width` at once, over all daemons in turn, and expects
-  // every answer to keep the promises.
+  // Sends `count` requests, `width` at a time, to all daemons in turn, and
+  // expects every answer to be free of violations.
   Outcomes AskMany(int count, int width, int deadline_ms) {
     Outcomes outcomes;
     for (int done = 0; done < count; done += width) {
@@ -67,7 +68,7 @@
   }
 };
 
-// Promise: every answer comes from one snapshot. Index version and layout
+// Guarantee: every answer comes from one snapshot. Index version and layout
 // change leaf by leaf while queries run.
 TEST_F(AnswerTest, NeverMixesSnapshotsWhileVersionsChange) {
   cluster_.StartSmall(2, {"--service-ms", "20"});
@@ -95,7 +96,7 @@
   EXPECT_GT(AskMany(16, 16, 5000).whole, 0);
 }
 
-// A leaf that answers from another version than was asked is not counted.
+// A reply from another index version than the requested one is not counted.
 TEST_F(AnswerTest, DropsRepliesOfAnotherVersion) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   cluster_.ControlLeaf(cluster_.leaves()[0],
@@ -105,7 +106,7 @@
   EXPECT_GT(AskMany(64, 8, 2000).whole, 0);
 }
 
-// Promise: coverage is stated truly, when replicas are lost ...
+// Guarantee: an answer states its true coverage when replicas are lost.
 TEST_F(AnswerTest, StatesCoverageTrulyWhenReplicasAreLost) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   cluster_.leaves()[1].process->Signal(SIGKILL);
@@ -116,7 +117,8 @@
   EXPECT_GT(outcomes.partial, 0);
 }
 
-// ... and when replies are empty, cut short or for another range.
+// Guarantee: an answer states its true coverage when replies are empty,
+// truncated or for another key range.
 TEST_F(AnswerTest, StatesCoverageTrulyWhenRepliesAreWrong) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   for (const std::string fault : {"empty", "truncated", "wrong_range"}) {
@@ -131,7 +133,7 @@
   EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
 }
 
-// Promise: a caller receives its own answer only, whatever leaves send.
+// Guarantee: a caller receives only its own answer, whatever leaves send.
 TEST_F(AnswerTest, GivesEachCallerItsOwnAnswer) {
   cluster_.StartSmall(3, {"--service-ms", "2", "--slots", "4"});
   cluster_.ControlLeaves(
@@ -141,7 +143,8 @@
   EXPECT_GT(outcomes.whole, 0);
 }
 
-// Promise: what is refused as not run was not run, under overload ...
+// Guarantee: a request that is refused as not executed was not executed; here
+// under overload.
 TEST_F(AnswerTest, RefusesTrulyUnderOverload) {
   cluster_.StartSmall(2, {"--service-ms", "40"});
   const Outcomes outcomes = AskMany(300, 150, 300);
@@ -151,7 +154,7 @@
   }
 }
 
-// ... and when leaves shed or lose what they are sent.
+// The same guarantee when leaves shed requests or lose their replies.
 TEST_F(AnswerTest, RefusesTrulyWhenLeavesShed) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   cluster_.ControlLeaf(cluster_.leaves()[0], R"({"refuse":"shed"})");
--- a/tests/failure/at_most_once_test.cc
+++ b/tests/failure/at_most_once_test.cc
@@ -1,4 +1,4 @@
-// Promise: a request marked as non-idempotent runs at most once.
+// Tests of the guarantee that a non-idempotent request runs at most once.
 
 #include "tests/failure/failure_test.h"
 
@@ -15,7 +15,7 @@
     return ask;
   }
 
-  // 0 if the connection broke or nothing came.
+  // Returns 0 if the connection broke or no response arrived.
   static int StatusOf(Reply& reply) {
     const auto result = reply.get();
     return result.is_ok() ? result.value().status : 0;
@@ -26,8 +26,8 @@
         [&] { return cluster_.MostRunsOf(ask.asked.request_id) > 0; });
   }
 
-  // Expects that no range of the request ran twice, and that it did not run at
-  // all if a refusal was the only answer.
+  // Expects that no range of the request ran twice, and that none ran at all if
+  // every response was a refusal.
   void ExpectAtMostOnce(const Ask& ask, const std::vector<int>& statuses) {
     const int runs = cluster_.MostRunsOf(ask.asked.request_id);
     EXPECT_LE(runs, 1) << ask.asked.request_id;
@@ -70,7 +70,8 @@
 
 TEST_F(AtMostOnceTest, DaemonIsFrozenWhileItClaims) {
   cluster_.StartSmall(2, {"--service-ms", "5"});
-  // The claim's write takes effect late, so that the freeze comes before it.
+  // The store applies the claim's write late, so that the daemon is frozen
+  // before the write takes effect.
   cluster_.ControlPlatform("faults", R"({"delay_ms":300})");
   Ask ask = MakeOnce();
   ask.deadline_ms = 3000;
@@ -94,7 +95,7 @@
       Reply first = cluster_.Start(cluster_.daemons()[0], ask);
       Reply second = cluster_.Start(cluster_.daemons()[1], ask);
       ExpectAtMostOnce(ask, {StatusOf(first), StatusOf(second)});
-      // A caller that asks again later must not make it run again.
+      // A caller's later retry must not make the request run again.
       cluster_.ControlPlatform("faults", R"({"lose_write_replies":0})");
       const int third =
           cluster_.Send(cluster_.daemons()[round % 2], ask).status;
--- a/tests/failure/failure_test.h
+++ b/tests/failure/failure_test.h
@@ -1,4 +1,4 @@
-// What the failure tests share: a cluster of the real programs.
+// The fixture of the failure tests: a cluster of the real programs.
 
 #ifndef MEDLARSPREAD_TESTS_FAILURE_FAILURE_TEST_H_
 #define MEDLARSPREAD_TESTS_FAILURE_FAILURE_TEST_H_
@@ -26,8 +26,7 @@
  protected:
   FailureTest() { std::cout << "seed " << seed_ << std::endl; }
 
-  // The violation in the answer or refusal; a response of another kind has
-  // none.
+  // The violation in an answer or a refusal. Other responses have none.
   static emulator::Violation ViolationOf(const Ask& ask,
                                          const http::Response& response) {
     if (response.status == http::kOk) {
@@ -40,7 +39,7 @@
     return emulator::Violation::kNone;
   }
 
-  // MEDLARSPREAD_TEST_SEED repeats the choices of a run that failed.
+  // Set MEDLARSPREAD_TEST_SEED to repeat the random choices of a failed run.
   static std::uint64_t ChooseSeed() {
     const char* given = std::getenv("MEDLARSPREAD_TEST_SEED");
     return given == nullptr ? std::random_device()() : std::stoull(given);
--- a/tests/failure/leaving_test.cc
+++ b/tests/failure/leaving_test.cc
@@ -1,5 +1,6 @@
-// Promises on leaving: an upstream that leaves gets no new work after a few
-// seconds, and a planned stop of a daemon cuts off no request in flight.
+// Tests of the guarantees on draining and stopping: an upstream that drains
+// gets no new work after a few seconds, and a planned stop of a daemon cuts off
+// no request in flight.
 
 #include <algorithm>
 #include <chrono>
@@ -15,7 +16,7 @@
 
 class LeavingTest : public FailureTest {
  protected:
-  // Asks all daemons in turn until `length` has passed.
+  // Sends requests to all daemons in turn until `length` has passed.
   void AskFor(milliseconds length) {
     const auto end = steady_clock::now() + length;
     for (std::size_t number = 0; steady_clock::now() < end; ++number) {
@@ -30,7 +31,8 @@
 
   // Sends requests to the daemons at `entries` and stops the one at `stopping`
   // while they run. Each request must be answered in full or refused as not
-  // run, and the daemon must say that it cut nothing off.
+  // executed, and the daemon must exit with status 0, which reports that it cut
+  // off no request.
   void StopUnderLoad(std::size_t stopping,
                      const std::vector<std::size_t>& entries) {
     constexpr std::size_t kInFlight = 30;
@@ -55,7 +57,7 @@
   }
 
  private:
-  // Requests that all leaves have started.
+  // The number of requests started, over all leaves.
   std::int64_t Started() {
     std::int64_t started = 0;
     for (const Leaf& leaf : cluster_.leaves()) {
@@ -64,7 +66,7 @@
     return started;
   }
 
-  // Whether it was answered.
+  // Returns whether the request was answered.
   bool ExpectWholeOrNotRun(const Ask& ask, const http::Response& response) {
     EXPECT_EQ(ViolationOf(ask, response), emulator::Violation::kNone);
     EXPECT_NE(response.status, http::kGatewayTimeout) << response.body;
@@ -78,8 +80,8 @@
   }
 };
 
-// The platform's list and the health page go on saying that all is well: the
-// replies alone tell.
+// The platform's list and the health page keep reporting the leaf as serving,
+// so the daemons learn that it drains from its replies only.
 TEST_F(LeavingTest, DrainingLeafGetsNoNewWorkAfterTwoSeconds) {
   cluster_.StartSmall(3, {"--service-ms", "2"});
   Leaf& leaf = cluster_.leaves()[0];
@@ -93,7 +95,8 @@
   EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
 }
 
-// Here the daemons have no work that could tell them: health alone does.
+// The daemons are idle and get no replies, so they learn that the leaf drains
+// from its health page only.
 TEST_F(LeavingTest, IdleDaemonsLearnFromHealth) {
   cluster_.StartSmall(3, {"--service-ms", "2"});
   Leaf& leaf = cluster_.leaves()[1];
@@ -105,8 +108,8 @@
   EXPECT_EQ(cluster_.RunsOf(leaf).arrived, before);
 }
 
-// Requests are in flight on the daemon that stops, and its queues hold those of
-// the others.
+// The daemon that stops has requests in flight, and its queues hold requests of
+// the other daemons.
 TEST_F(LeavingTest, StopUnderLoadCutsNothing) {
   cluster_.StartSmall(3, {"--service-ms", "150", "--slots", "8"});
   StopUnderLoad(1, {1, 0});
@@ -127,8 +130,9 @@
   cluster_.ControlPlatform("faults", R"({"outage":"none"})");
 }
 
-// Killed, not stopped: what was in flight may be lost, but nothing false comes,
-// and the others soon serve without it.
+// The daemon is killed without a planned stop: its requests in flight may be
+// lost, but no answer is false, and the other daemons soon answer in full
+// again.
 TEST_F(LeavingTest, KilledDaemonIsDoneWithout) {
   cluster_.StartSmall(3, {"--service-ms", "20"});
   std::vector<Ask> asks;
@@ -150,8 +154,8 @@
   EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[1]));
 }
 
-// New requests that meet a stopping daemon are refused as not run, or find
-// nobody listening; none is cut off.
+// New requests to a stopping daemon are refused as not executed or find no
+// listener; no connection is closed during a request.
 TEST_F(LeavingTest, StoppingDaemonRefusesNewWork) {
   cluster_.StartSmall(2, {"--service-ms", "20"});
   Daemon& leaving = cluster_.daemons()[0];
--- a/tests/failure/mixed_test.cc
+++ b/tests/failure/mixed_test.cc
@@ -1,5 +1,6 @@
-// Faults of all kinds, drawn from a printed seed, while requests of both kinds
-// run; every answer is checked, and afterwards what the leaves ran.
+// Injects faults of all kinds, drawn from a printed seed, while idempotent and
+// non-idempotent requests run. Checks every answer and, at the end, what the
+// leaves executed.
 
 #include <utility>
 
@@ -36,8 +37,8 @@
       {Fault::kFrozenDaemon, "frozen daemon"},
       {Fault::kKilledDaemon, "killed daemon"}}}};
 
-// One request and the statuses that its submissions were answered with; 0
-// stands for none.
+// One request and the HTTP statuses of its submissions; 0 means that no
+// response arrived.
 struct Submitted {
   Ask ask;
   std::vector<int> statuses;
@@ -47,8 +48,8 @@
  protected:
   void Inflict(Fault fault);
   void HealAll();
-  // Sends a batch, half of it non-idempotent and to two daemons each, and
-  // checks what comes back.
+  // Sends a batch of requests and checks the responses. About half of the
+  // requests are non-idempotent, and each of those is sent to two daemons.
   void AskBatch();
   void CheckRuns() const;
   void Unfreeze() {
@@ -71,7 +72,7 @@
 };
 
 void MixedTest::Inflict(Fault fault) {
-  // A frozen leaf can't be told what to do next.
+  // A frozen leaf can't receive its next control call.
   Unfreeze();
   switch (fault) {
     case Fault::kWrongReplies:
@@ -91,9 +92,9 @@
       frozen_.back()->Signal(SIGSTOP);
       break;
     case Fault::kDrainingLeaf:
-      // NOTE: only one replica of each shard, because a leaf that has said
-      // that it drains is left alone for 30 s and longer, whatever it says
-      // next; both would leave the shard without any.
+      // NOTE: only one replica of each shard drains, because a leaf that has
+      // reported that it drains gets no work for 30 s or longer, whatever it
+      // reports next. With both draining the shard would have no leaf.
       cluster_.ControlLeaf(cluster_.leaves()[random_.Below(2)],
                            R"({"state":"draining"})");
       break;
@@ -151,7 +152,8 @@
     }
     submitted_.push_back({ask, {}});
   }
-  // A frozen daemon answers when it wakes, so it must not wait for its batch.
+  // A frozen daemon responds only after it continues, so the batch must not
+  // wait for it.
   Unfreeze();
   for (std::size_t index = 0; index < replies.size(); ++index) {
     Submitted& request = submitted_[first + index];
@@ -195,7 +197,7 @@
   const auto end = std::chrono::steady_clock::now() + kLongest;
   for (int round = 0; round < kRounds && std::chrono::steady_clock::now() < end;
        ++round) {
-    // One fault, or two at once.
+    // Injects one fault or two at once.
     for (std::uint64_t count = 1 + random_.Below(2); count > 0; --count) {
       const Fault fault =
           kFaults.rows[random_.Below(kFaults.rows.size())].first;
--- a/tests/failure/opaque_test.cc
+++ b/tests/failure/opaque_test.cc
@@ -1,5 +1,5 @@
-// The real daemon with the opaque interface, as processes, against stand-ins
-// of the store and the leaves.
+// Runs the real daemon with the opaque interface as processes against emulated
+// stores and leaves.
 
 #include <csignal>
 #include <filesystem>
@@ -26,7 +26,7 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-// A change has to be in force this long after the store took it.
+// A change must be in force this long after the store accepted it.
 constexpr std::chrono::milliseconds kInForceBound(3'000);
 
 class OpaqueTest : public testing::Test {
@@ -79,7 +79,7 @@
             R"({"name":"s2","max_conns":40},{"name":"s3","max_conns":40}]})");
   }
 
-  // A route of that prefix to one service, for Configure().
+  // A route from `prefix` to one service, for Configure().
   static std::string RouteTo(const std::string& service,
                              const std::string& prefix) {
     return R"(,{"name":"one","host":"h","prefix":")" + prefix +
@@ -94,7 +94,7 @@
     std::string metrics;
   };
 
-  // A daemon takes requests from others if `query_port` is set.
+  // The daemon accepts requests from other daemons if `query_port` is set.
   Daemon Start(const std::string& name,
                const std::string& processor_share = "1",
                int query_port = 0) {
@@ -169,7 +169,7 @@
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
   const auto answer = AwaitCall(MakeCall(daemon, "/all/1", "r1"));
   ASSERT_EQ(answer.status, http::kOk) << answer.body;
-  // The two greatest records of three shards.
+  // The two greatest records of the three shards.
   EXPECT_EQ(answer.body, "s3..............s2..............");
   EXPECT_EQ(runs("r1"), 3);
   EXPECT_EQ(AwaitCall(MakeCall(daemon, "/none/1", "r2")).status, kNotFound);
@@ -177,7 +177,7 @@
   EXPECT_EQ(StatusOf(daemon.metrics, "/metrics"), http::kOk);
 }
 
-// Guards against a ready line that the first lines of the log are written into.
+// Guards against log lines that are written into the middle of the ready line.
 TEST_F(OpaqueTest, TheReadyLineIsWholeAtEachStart) {
   constexpr int kRounds = 25;
   constexpr int kAtOnce = 8;
@@ -301,7 +301,7 @@
   const auto result = answer.get();
   ASSERT_TRUE(result.is_ok()) << result.error().ToString();
   EXPECT_EQ(result.value().status, http::kOk);
-  // Open connections are still served before the end.
+  // Open connections are still served before the process ends.
   for (const char* id : {"s1-a", "s1-b"}) {
     leaves_[id]->set_work(base::Milliseconds(2));
   }
@@ -348,8 +348,8 @@
   }));
 }
 
-// Guards against a configuration that no daemon takes because it was written
-// with a lower revision, after the store was restored from an older copy.
+// Guards against a configuration that every daemon rejects because, after the
+// store was restored from a backup, it was written with a lower revision.
 TEST_F(OpaqueTest, AChangeAfterTheStoreWasRestoredIsInForceInTime) {
   Configure(3);
   std::vector<Daemon> daemons;
@@ -361,7 +361,7 @@
   }
   ASSERT_TRUE(WaitUntil([&] { return store_->waiting_watches() == 1; }));
   store_->TakeCopy();
-  // Changes that will be lost, the configuration's among them.
+  // Changes that the restore will lose, the configuration's among them.
   for (int change = 0; change < 40; ++change) {
     store_->Put("other", std::to_string(change));
   }
@@ -372,7 +372,7 @@
     }));
   }
   store_->RestoreCopy();
-  // The operator writes again what was lost, and then a change.
+  // The operator writes the lost configuration again, and then a change.
   Configure(5, RouteTo("s1", "/old/"));
   Configure(8, RouteTo("s2", "/new/"));
   const auto written = std::chrono::steady_clock::now();
@@ -388,8 +388,8 @@
                                 std::chrono::milliseconds(1)));
 }
 
-// Guards against a daemon that nobody counts because it takes a lease that the
-// restored store has given to somebody else for its own.
+// Guards against a daemon that is missing from the registry because it mistakes
+// a lease that the restored store granted to another process for its own.
 TEST_F(OpaqueTest, ADaemonRegistersAnewOnceTheStoreWasRestored) {
   Configure(3);
   store_->TakeCopy();
@@ -401,8 +401,9 @@
   EXPECT_TRUE(WaitUntil([&] { return store_->LeaseOf("daemons/vm1") == 2; }));
 }
 
-// Keys that no leaf wrote, some over the entry of a leaf: that leaf is out of
-// use, all others hold, and what changes later is still learnt.
+// Keys that no leaf wrote, some of them over a leaf's entry: that leaf is not
+// used, the entries of all others stay valid, and later changes still take
+// effect.
 TEST_F(OpaqueTest, EntriesOfAnotherWriterNameNoLeafAndHoldNothingUp) {
   const Daemon daemon = Start("vm1");
   Configure(3);
@@ -419,7 +420,7 @@
     const auto status = AwaitCall(MakeCall(daemon, "/pay/1", "a")).status;
     return status == http::kOk && leaves_["s1-a"]->runs() == before;
   }));
-  // A daemon that starts now reads the same.
+  // A daemon that starts now reads the same entries.
   const Daemon late = Start("vm2");
   ASSERT_TRUE(AwaitReadiness(late, http::kOk));
   for (const Daemon& asked : {daemon, late}) {
@@ -445,7 +446,7 @@
   Configure(3);
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
   ASSERT_EQ(AwaitCall(MakeCall(daemon, "/pay/1", "a")).status, http::kOk);
-  // The former start drains and is gone; the next one has another address.
+  // The first process drains and ends; the next one has another address.
   Announce("s1-a", "draining");
   const auto former = std::move(leaves_["s1-a"]);
   leaves_["s1-a"] = std::make_unique<HostedLeaf>(context_, "s1-a", "s1", "n1");
@@ -456,7 +457,7 @@
     (void)AwaitCall(MakeCall(daemon, "/pay/1", "b"));
     return leaves_["s1-a"]->runs() > 0;
   }));
-  // A late write of the former start changes nothing.
+  // A late write of the first process changes nothing.
   store_->Put("servers/s1-a", old_entry);
   store_->Put("other", "x");
   ASSERT_TRUE(WaitUntil([&] { return store_->calls() > 6; }));
@@ -474,7 +475,8 @@
   for (const Daemon& daemon : daemons) {
     ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
   }
-  // Each knows of all, and each but the reader has turned to the reader.
+  // Every daemon has registered, and all but the store reader have switched to
+  // the store reader.
   for (const char* name : {"vm1", "vm2", "vm3", "vm4"}) {
     ASSERT_TRUE(WaitUntil(
         [&] { return store_->Holds(std::string("daemons/") + name); }));
@@ -489,15 +491,16 @@
       return AwaitCall(MakeCall(daemon, "/new/1", "n")).status == http::kOk;
     }));
   }
-  // One reader: a change costs a watch or two, not one a daemon.
+  // With one store reader a change costs one or two watches, not one per
+  // daemon.
   EXPECT_LE(store_->calls() - before, 4);
 }
 
-// A small daemon that hands requests to all shards to a large one.
+// A small daemon that hands over requests to all shards to a large one.
 class HandoverTest : public OpaqueTest {
  protected:
-  // With three attempts a part may be repeated when its aggregator fails, with
-  // two the caller is told.
+  // With three attempts a part can be resent when its aggregator fails; with
+  // two the caller gets an error.
   void StartBoth(int attempts = 3) {
     Configure(3, "", attempts);
     large_ = Start("large", "1", FreePort());
@@ -515,7 +518,8 @@
         MakeCall(daemon, "/all/1", "h" + std::to_string(++asked_)));
   }
 
-  // Requests that the large daemon has fanned out for the small one.
+  // The number of requests that the large daemon has fanned out for the small
+  // one.
   int FannedOut() const {
     const std::string name = "medlarspread_requests_fanned_out_for_peers_total";
     const std::string page =
--- a/tests/failure/targets_test.cc
+++ b/tests/failure/targets_test.cc
@@ -1,5 +1,5 @@
-// Promise: an accepted configuration is in force everywhere within seconds and
-// never reverts.
+// Tests of the guarantee that an accepted configuration is in force on all
+// daemons within seconds and never reverts.
 
 #include "tests/failure/failure_test.h"
 
@@ -8,7 +8,7 @@
 
 class TargetsTest : public FailureTest {
  protected:
-  // The targets must be in force on all daemons within this.
+  // The targets must be in force on all daemons within this time.
   static constexpr std::chrono::milliseconds kEverywhereWithin{18000};
 
   bool AwaitEverywhere(int latency_ms) {
@@ -106,7 +106,7 @@
 }
 
 TEST_F(TargetsTest, RestoredStoreRevertsNothing) {
-  // Unlike any other number in the store.
+  // A number that occurs nowhere else in the store.
   constexpr int kNewer = 7351;
   cluster_.StartSmall(2, {});
   cluster_.ControlPlatform("checkpoint", "");
@@ -116,14 +116,16 @@
       http::kOk);
   ASSERT_TRUE(AwaitEverywhere(kNewer));
   const auto before = cluster_.TargetsOf(cluster_.daemons()[0]).revision;
-  // The outage ends the watches, so that the old record is read afterwards.
+  // The outage ends the watches, so that the daemons read the old record
+  // afterwards.
   cluster_.ControlPlatform("faults", R"({"outage":"refuse"})");
   cluster_.ControlPlatform("restore", R"({"repeats_versions":true})");
   cluster_.ControlPlatform("faults", R"({"outage":"none"})");
-  // A daemon that starts now must not take the old targets either.
+  // A daemon that starts now must not apply the old targets either.
   cluster_.StartDaemon("vm-late");
   ASSERT_TRUE(cluster_.AwaitWhole(cluster_.daemons().back()));
-  // A reader has met the old record once it has put it right.
+  // The store holds the new targets again once a daemon has read the old record
+  // and corrected it.
   EXPECT_TRUE(WaitUntil([&] {
     for (const Daemon& daemon : cluster_.daemons()) {
       EXPECT_GE(cluster_.TargetsOf(daemon).revision, before) << daemon.name;
