--- a/tests/soak/fault_proxy.cc
+++ b/tests/soak/fault_proxy.cc
@@ -1,4 +1,4 @@
-// Two sockets a link, and what happens to the bytes between them.
+// Forwards bytes between the two sockets of each link and applies the fault.
 
 #include "tests/soak/fault_proxy.h"
 
@@ -41,7 +41,7 @@
 
   void Reset() {
     boost::system::error_code ignored;
-    // With no time to linger, closing sends a reset.
+    // Closing with a linger time of zero sends a reset.
     for (tcp::socket* socket : {&caller_, &target_}) {
       socket->set_option(tcp::socket::linger(true, 0), ignored);
       socket->close(ignored);
@@ -74,7 +74,8 @@
     const bool is_dropped = fault == LinkFault::kSilent ||
                             (fault == LinkFault::kOneWay && is_reply);
     if (is_dropped) {
-      // The rest of the stream would make no sense: this link stays silent.
+      // Bytes are lost, so the rest of the stream would be corrupt: this
+      // direction is never read again.
       return;
     }
     auto timer = std::make_shared<boost::asio::steady_timer>(proxy_.context_);
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -1,7 +1,8 @@
-// A loopback proxy between a daemon and what it calls: it delays, resets, cuts
-// one way, or falls silent, as the soak says.
+// A loopback proxy between a daemon and a server that it calls. It injects link
+// faults: delay, reset, loss of all replies, or loss in both directions.
 //
-// Runs on the thread of its context; set_fault() too.
+// All members, set_fault() included, must be called on the thread of the I/O
+// context.
 
 #ifndef MEDLARSPREAD_TESTS_SOAK_FAULT_PROXY_H_
 #define MEDLARSPREAD_TESTS_SOAK_FAULT_PROXY_H_
@@ -22,11 +23,11 @@
   kNone,
   // Bytes arrive 80 ms late.
   kDelay,
-  // Connections are reset, new ones too.
+  // Open and new connections are reset.
   kReset,
-  // What the target sends does not arrive.
+  // Bytes from the target are dropped.
   kOneWay,
-  // Nothing arrives on either side; connections stay open.
+  // Bytes are dropped in both directions; connections stay open.
   kSilent,
 };
 
@@ -36,9 +37,11 @@
 
   std::string address() const;
   void set_fault(LinkFault fault);
-  // Another process has the address now: new connections go there.
+  // Sends new connections to `target`, for example because another process has
+  // the address now.
   void set_target(std::string target) { target_ = std::move(target); }
-  // The target's process has ended: new connections are refused.
+  // Refuses new connections and resets open ones, as when the target process
+  // ends.
   void Close();
 
  private:
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -1,4 +1,5 @@
-// The world of one run: stand-ins, daemons, callers, faults, checks.
+// One soak run: emulated store and leaves, daemon processes, callers, fault
+// injection and checks.
 
 #include "tests/soak/soak.h"
 
@@ -37,53 +38,61 @@
 constexpr base::Duration kStep = base::Milliseconds(10);
 constexpr base::Duration kFaultInterval = base::Milliseconds(350);
 constexpr base::Duration kLongestFault = base::Milliseconds(2'500);
-// A leaf gets nothing new so long after the store took its word that it
-// drains, from daemons that were undisturbed all the while.
+// A draining leaf gets no new request later than this after the store accepted
+// its draining state, from daemons that were undisturbed for the whole time.
 constexpr base::Duration kDrainBound = base::Milliseconds(3'000);
-// A daemon counts as undisturbed so long after its last fault.
+// A daemon counts as undisturbed this long after its last fault.
 constexpr base::Duration kCalm = base::Milliseconds(3'000);
-// A change of the routes is in force so long after the store took it, at
-// daemons that were in touch with it for the whole of the second time.
+// A change of the routes must be in force kInForceBound after the store
+// accepted it, at daemons that have been connected to the store without a
+// disturbance for kInTouch.
 constexpr base::Duration kInForceBound = base::Milliseconds(3'000);
 constexpr base::Duration kInTouch = base::Milliseconds(5'000);
-// How old a copy of the store may be, how long the store is away before it
-// comes back from it, and how soon its writers have written again what was
-// lost.
+// The minimum and maximum age of a backup at the restore, the longest store
+// outage before the restore, and the time within which the writers have written
+// the lost changes again.
 constexpr base::Duration kLeastCopyAge = base::Milliseconds(100);
 constexpr base::Duration kMostCopyAge = base::Milliseconds(10'000);
 constexpr base::Duration kLongestRestore = base::Milliseconds(3'000);
 constexpr base::Duration kWrittenAgain = base::Milliseconds(1'800);
-// After a restore operators change the routes within this time.
+// Operators change the routes within kChangesAfterRestore after a restore. The
+// change that the restore discards is made kKnownBeforeRestore before it, so
+// that the daemons have applied it.
 constexpr base::Duration kChangesAfterRestore = base::Milliseconds(2'500);
 constexpr base::Duration kKnownBeforeRestore = base::Milliseconds(1'500);
-// Leaves write this often, all of them together; it carries the store's
-// revisions on.
+// All leaves together write at this interval, which keeps the store's revision
+// growing.
 constexpr base::Duration kHeartbeat = base::Milliseconds(50);
-// The store and the daemons are disturbed for a while, then left alone for long
-// enough to check the bounds that hold only then.
+// Faults hit the store and the daemons for kStormy, then neither is disturbed
+// for kQuiet, which is long enough to check the bounds that hold only without
+// disturbance.
 constexpr base::Duration kStormy = base::Milliseconds(4'000);
 constexpr base::Duration kQuiet = base::Milliseconds(10'000);
-// Of the route to all shards, as Configure() writes it.
+// The maximum attempts of the route to all shards. Must match Configure().
 constexpr int kMostAttempts = 2;
-// A caller that sends a deadly request: each time once more if it fails.
+// The pause between two deadly requests, of which each is retried once on
+// failure, and the time until a leaf that crashed on one is replaced.
 constexpr base::Duration kDeadlyGap = base::Milliseconds(1'500);
 constexpr base::Duration kDeadlyDown = base::Milliseconds(1'000);
-// After so many leaves, and so long without a disturbance of the store or a
-// daemon, all must know it; so many tries may reach leaves after that.
+// After this many crashed leaves, and kKnownAfter without a disturbance of the
+// store or of a daemon, all daemons must have quarantined the request; at most
+// kMostTriesOnceKnown attempts may reach leaves after that.
 constexpr int kLeavesToKnow = 3;
 constexpr base::Duration kKnownAfter = base::Milliseconds(4'000);
 constexpr int kMostTriesOnceKnown = 3;
 const std::vector<std::string> kServices = {"s1", "s2", "s3"};
-// A leaf of the one service ends, and one of the other starts at its address.
+// A leaf of the first service ends, and a leaf of the second starts at its
+// address.
 constexpr const char* kServiceThatLosesALeaf = "s2";
 constexpr const char* kServiceOfTenant = "s3";
 constexpr base::Duration kReuseBegin = base::Milliseconds(4'000);
 constexpr base::Duration kAddressFree = base::Milliseconds(1'000);
-// From the end of the leaf until its entry goes.
+// The time from the end of the leaf until its store entry is removed.
 constexpr base::Duration kEntryStands = base::Milliseconds(7'000);
 constexpr base::Duration kWork = base::Milliseconds(2);
 constexpr base::Duration kSlowWork = base::Milliseconds(120);
-// What daemons are told that leaves bear beyond the first sends.
+// The configured bound on sends to leaves beyond the first send of each
+// request.
 constexpr admission::ExtraSendBound kExtraSends{0.2, 50.0,
                                                 base::Milliseconds(10'000)};
 
@@ -92,9 +101,10 @@
   std::unique_ptr<FaultProxy> proxy;
   std::string service;
   bool is_ended = false;
-  // Since when it drains; zero while it serves.
+  // When the leaf began to drain; zero while it serves.
   base::MonotonicTime draining_since;
-  // What it had run when it must have got nothing new any longer.
+  // How many requests the leaf had run at kDrainBound, after which it must get
+  // no new ones; -1 before that and after a disturbance.
   int runs_at_bound = -1;
 };
 
@@ -106,9 +116,9 @@
   bool is_stopping = false;
   bool is_gone = false;
   base::MonotonicTime started;
-  // When it was last paused.
+  // When the process was last resumed after a pause.
   base::MonotonicTime disturbed;
-  // The highest revision that an answer of this process has shown.
+  // The highest revision that a response of this process has shown.
   int revision_seen = 0;
   std::shared_ptr<http1::ClientConnection> connection;
 };
@@ -118,12 +128,12 @@
   bool is_idempotent = true;
   bool is_probe = false;
   int revision = 0;
-  // The route has to be in force.
+  // The requested route must be in force.
   bool is_due = false;
   std::size_t daemon = 0;
 };
 
-// A key of operators or leaves.
+// The last write of a key by an operator or a leaf.
 struct Written {
   // Absent if the key was removed.
   std::optional<std::string> value;
@@ -144,7 +154,7 @@
 
   void AddLeaf(const std::string& service, const std::string& zone);
   void WriteEntry(const Leaf& leaf, const std::string& state);
-  // As operators and leaves do.
+  // Writes to the store as an operator or a leaf does.
   void Write(const std::string& key, std::optional<std::string> value);
   void Configure();
   void StartDaemon(std::size_t index);
@@ -170,7 +180,7 @@
   void StartTenant(FaultProxy& proxy);
   void EndReuse(const Leaf& leaf);
   void SetWork(const std::string& service, base::Duration work);
-  // Every arrival at the leaf counts for its service.
+  // Counts every arrival at the leaf for its service.
   void CountArrivals(HostedLeaf& leaf, const std::string& service);
   void SendRequests();
   void Send(Sent sent, const std::string& path);
@@ -193,7 +203,7 @@
   HostedStore store_{context_};
   FaultProxy store_proxy_{context_, store_.address()};
   std::vector<std::unique_ptr<Leaf>> leaves_;
-  // Leaves that no entry names.
+  // Leaves at reused addresses, which no store entry names.
   std::vector<std::unique_ptr<HostedLeaf>> tenants_;
   emulator::ArrivalRecord arrivals_;
   std::vector<Daemon> daemons_;
@@ -203,25 +213,27 @@
   base::MonotonicTime began_;
   base::MonotonicTime end_;
   base::MonotonicTime next_fault_;
-  // By key.
+  // The last write of each key.
   std::map<std::string, Written> written_;
-  // When the store last took the newest configuration.
+  // When the store last accepted a new configuration.
   base::MonotonicTime configured_;
   base::MonotonicTime copied_;
-  // The same for the store and the way to it.
+  // Until when the store or the link to it is disturbed.
   base::MonotonicTime store_disturbed_;
-  // When anything was last done to the store, to a link, or to a daemon.
+  // Until when the store, the link to it or any daemon is disturbed.
   base::MonotonicTime last_disturbance_;
   std::vector<std::string> once_;
   std::vector<std::string> gathered_;
   std::vector<std::string> refused_;
-  // Draws for the deadly request, so that the other faults stay as they are.
+  // Draws for the deadly request, separate so that the other faults of a seed
+  // stay the same.
   base::Random deadly_random_;
-  // Draws for restores, for the same reason.
+  // Draws for restores, separate for the same reason.
   base::Random restore_random_;
-  // When all must know it; zero before enough leaves have ended.
+  // When all daemons must have quarantined the deadly request; zero until
+  // enough leaves have crashed.
   base::MonotonicTime known_at_;
-  // Its tries at undisturbed daemons after that.
+  // Attempts of the deadly request at undisturbed daemons after that time.
   std::vector<std::string> tries_once_known_;
   SoakReport report_;
 };
@@ -273,8 +285,9 @@
   written_[key] = {std::move(value), now()};
 }
 
-// Each revision has a route of its own beside the lasting ones: a daemon that
-// knows it must never again take the route of an earlier revision.
+// Each revision has a route of its own in addition to the permanent ones: a
+// daemon that has applied a revision must never again serve the route of an
+// earlier one.
 void World::Configure() {
   ++revision_;
   configured_ = now();
@@ -297,10 +310,12 @@
   Daemon daemon;
   daemon.name = "vm" + std::to_string(index);
   const std::filesystem::path file = folder_ / (daemon.name + ".ini");
-  // Peers are told these addresses, so a daemon can't leave them to the system.
+  // Daemons announce these addresses to their peers, so they can't bind to port
+  // 0.
   const int peer_port = tests::FreePort();
   const int query_port = tests::FreePort();
-  // Two domains; the last daemon is small and hands requests to the first.
+  // Two failure domains; the last daemon is small and hands over requests to
+  // the first.
   const bool is_small = index + 1 == static_cast<std::size_t>(options_.daemons);
   const std::string domain = index % 2 == 0 ? "n1" : "n2";
   std::ofstream(file) << "[vm]\nname = " << daemon.name
@@ -323,8 +338,8 @@
       std::vector<std::string>{"serve", file.string()});
   auto fields = daemon.process->AwaitReady();
   if (!fields) {
-    // What it printed tells why, for example that another process has taken
-    // one of the two ports meanwhile.
+    // The process has printed the reason, for example that another process has
+    // bound one of the two ports meanwhile.
     const auto status = daemon.process->AwaitExit(std::chrono::seconds(1));
     Violate(daemon.name + " did not start, exit status " +
             (status ? std::to_string(*status) : "none") + ", ports " +
@@ -360,7 +375,7 @@
   if (options_.has_reused_address) {
     Later(kReuseBegin, [this] { ReuseAddress(); });
   }
-  // What is in flight at the end may take its whole deadline.
+  // Requests in flight at the end may use their whole deadline.
   context_.run_for(options_.length + std::chrono::milliseconds(2'500));
   CheckRuns();
   CheckDeadly();
@@ -413,7 +428,7 @@
   }
   switch (kind) {
     case 0: {
-      // One that drains is replaced, so that its shard stays whole.
+      // A draining leaf is replaced, so that its shard keeps its replicas.
       if (leaf.draining_since == base::MonotonicTime{}) {
         leaf.draining_since = now();
         WriteEntry(leaf, "draining");
@@ -474,7 +489,7 @@
   store_.TakeCopy();
   copied_ = now();
   const base::Duration age = RestoreTime(kLeastCopyAge, kMostCopyAge);
-  // A change that daemons have taken and that will be lost.
+  // A change that the daemons apply and the restore discards.
   Later(std::max(base::Duration{}, age - kKnownBeforeRestore),
         [this] { Configure(); });
   Later(age, [this] { BeginRestore(restore_random_.Below(3) == 0 ? 2 : 1); });
@@ -561,7 +576,7 @@
     default:
       daemon.is_stopping = true;
       daemon.process->Signal(SIGTERM);
-      // Callers go on using the connection until the process is gone.
+      // Callers keep using the connection until the process has ended.
       Later(base::Milliseconds(6'200), restart);
   }
 }
@@ -727,7 +742,7 @@
   Daemon& daemon = daemons_[sent.daemon];
   if (!daemon.connection || daemon.connection->is_closed()) {
     if (daemon.is_stopping) {
-      // The balancer sends no new connections to a daemon that stops.
+      // The load balancer sends no new connections to a stopping daemon.
       return;
     }
     http1::ClientConnection::Settings settings;
@@ -763,7 +778,8 @@
   const Daemon& daemon = daemons_[sent.daemon];
   const bool is_planned =
       daemon.is_stopping && !daemon.is_gone && !daemon.is_paused;
-  // A request that crosses the close of its connection is not lost.
+  // A request sent while the daemon closed the connection never ran, so it was
+  // not cut off.
   if (is_planned && RunsOf(sent.id) > 0) {
     Violate(sent.id + ": cut off by a planned stop of " + daemon.name);
   }
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -1,5 +1,5 @@
-// Runs the soak by hand: medlarspread_soak DAEMON FIRST_SEED SEEDS [SECONDS]
-// [deadly] [reused] [restored]
+// Runs the soak test by hand: medlarspread_soak DAEMON FIRST_SEED SEEDS
+// [SECONDS] [deadly] [reused] [restored]
 
 #include <cstdlib>
 #include <iostream>
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -1,4 +1,4 @@
-// Short runs with fixed seeds, and every seed that ever failed.
+// Short soak runs with fixed seeds, among them every seed that ever failed.
 
 #include <chrono>
 
@@ -25,7 +25,7 @@
 
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, SoakTest, testing::Values(1, 2, 3));
 
-// Beside all other faults, one request ends every leaf that runs it.
+// In addition to all other faults, one request crashes every leaf that runs it.
 class DeadlyRequestSoakTest : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(DeadlyRequestSoakTest, ReachesFewLeavesOnceThreeHaveEnded) {
@@ -46,8 +46,8 @@
                          DeadlyRequestSoakTest,
                          testing::Values(1, 2));
 
-// What leaves bear is checked in every run; here with an address that another
-// service's leaf takes over.
+// Every run checks the extra-send bound of the leaves; in these runs a leaf of
+// another service also takes over an address.
 class ReusedAddressSoakTest : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(ReusedAddressSoakTest, TheNewLeafGetsFewRequestsOfTheOldOne) {
@@ -60,8 +60,8 @@
     ADD_FAILURE() << violation;
   }
   EXPECT_GT(report.answered, 50);
-  // Those that were on their way when a daemon, or one that takes its place,
-  // hears for the first time that the leaf has been replaced.
+  // Requests already sent when a daemon, or its replacement after a restart,
+  // first learns that the leaf has been replaced.
   EXPECT_LE(report.arrivals_at_reused_address, 12);
 }
 
@@ -69,8 +69,8 @@
                          ReusedAddressSoakTest,
                          testing::Values(1, 2));
 
-// Guards against configurations that no daemon takes once the store was
-// restored from an older copy.
+// Guards against configurations that every daemon rejects after the store was
+// restored from a backup.
 class RestoredStoreSoakTest : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(RestoredStoreSoakTest, ChangesComeIntoForceInTimeAndNeverGoBack) {
