--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -1,4 +1,4 @@
-// Starts the processes of a cluster and calls them.
+// Starts and calls the processes of a cluster.
 
 #include "tests/support/cluster.h"
 
@@ -23,7 +23,7 @@
 constexpr char kToken[] = "token-of-the-tests";
 constexpr int kIdentifierDigits = 16;
 
-// The fields of one entry of the platform's list.
+// The fields of one entry in the platform's list.
 std::string VmRow(const Daemon& daemon) {
   return R"({"vms":[{"name":")" + daemon.name +
          R"(","role":"entry","state":"live","region":"r1",)"
@@ -165,7 +165,8 @@
 }
 
 LeafRuns Cluster::RunsOf(const Leaf& leaf) const {
-  // NOTE: no request has this identifier, so that only the sums come back.
+  // NOTE: no request has this identifier, so the response contains only the
+  // totals.
   const value json =
       ParseOrEmpty(AwaitCall({.address = leaf.address,
                               .path = "/control/runs",
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -1,5 +1,4 @@
-// A platform, leaves and daemons as processes of one test, and the calls that
-// tests make on them.
+// Runs a platform, leaves and daemons as processes of one test, and calls them.
 
 #ifndef MEDLARSPREAD_TESTS_SUPPORT_CLUSTER_H_
 #define MEDLARSPREAD_TESTS_SUPPORT_CLUSTER_H_
@@ -37,14 +36,14 @@
   std::string peer;
 };
 
-// What one leaf tells of its work.
+// How many requests one leaf has received and started.
 struct LeafRuns {
   std::int64_t arrived = 0;
   std::int64_t arrived_while_draining = 0;
   std::int64_t started = 0;
 };
 
-// One request of a caller.
+// A request of a caller.
 struct Ask {
   emulator::AskedQuery asked;
   int deadline_ms = 5000;
@@ -53,7 +52,7 @@
 
 class Cluster {
  public:
-  // Starts the platform. All random choices follow from `seed`.
+  // Starts the platform. `seed` determines all random choices.
   Cluster(const std::string& daemon_program,
           const std::string& emulator_program,
           std::uint64_t seed);
@@ -61,31 +60,33 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // A leaf in the platform's list; `options` are further options of `leaf`.
+  // Starts a leaf and adds it to the platform's list. `options` are further
+  // options of the emulator's `leaf` command.
   Leaf& StartLeaf(const std::string& name,
                   const std::string& holdings,
                   const std::vector<std::string>& options = {});
-  // A daemon in the platform's list.
+  // Starts a daemon and adds it to the platform's list.
   Daemon& StartDaemon(const std::string& name);
-  // Two replicas each of the lower and the upper half of snapshot 1:1, and
-  // `daemons` daemons; waits until all daemons answer in full.
+  // Starts two replicas each of the lower and the upper half of snapshot 1:1
+  // and `daemons` daemons. Waits until all daemons answer in full.
   void StartSmall(int daemons, const std::vector<std::string>& leaf_options);
 
   std::deque<Leaf>& leaves() { return leaves_; }
   std::deque<Daemon>& daemons() { return daemons_; }
 
-  // Control of the stand-ins; each asserts that the call worked.
+  // Calls the control interface of the emulated platform or leaves. Each
+  // asserts that the call succeeded.
   void ControlPlatform(const std::string& call, const std::string& body) const;
   void ControlLeaf(const Leaf& leaf, const std::string& body) const;
   void ControlLeaves(const std::string& body) const;
   // All entries of the key-value service, as JSON.
   std::string StoreContents() const;
   LeafRuns RunsOf(const Leaf& leaf) const;
-  // How often each range of the request was started, over all leaves; the
-  // highest of these numbers.
+  // Counts over all leaves how often each range of the request was started, and
+  // returns the highest count.
   int MostRunsOf(const std::string& request_id) const;
 
-  // Administration.
+  // Calls to the operators' interface.
   http::Response PutTargets(
       const Daemon& daemon,
       const std::string& change_id,
@@ -107,7 +108,8 @@
   std::future<base::Result<http::Response>> Start(const Daemon& daemon,
                                                   const Ask& ask) const;
   http::Response Send(const Daemon& daemon, const Ask& ask) const;
-  // Whether the daemon gives a whole and true answer within the patience.
+  // Waits until the daemon gives a complete and correct answer; false if it
+  // does not within kPatience.
   bool AwaitWhole(const Daemon& daemon);
 
  private:
@@ -121,7 +123,7 @@
   base::Random random_;
   std::deque<Leaf> leaves_;
   std::deque<Daemon> daemons_;
-  // Last, so that the processes end before the folder goes.
+  // Declared last, so that the processes end before the folder is removed.
   ProcessGroup processes_;
 };
 
--- a/tests/support/free_port.cc
+++ b/tests/support/free_port.cc
@@ -1,4 +1,4 @@
-// Ports in turn; each process begins elsewhere.
+// Tries ports in order; each process starts at a different one.
 
 #include "tests/support/free_port.h"
 
@@ -15,7 +15,8 @@
 
 constexpr int kFirstPort = 12'000;
 constexpr int kPorts = 20'000;
-// Between the first choices of processes with consecutive identifiers.
+// The distance between the first ports of processes with consecutive process
+// identifiers.
 constexpr int kStride = 97;
 
 bool IsFree(int port) {
--- a/tests/support/http_call.cc
+++ b/tests/support/http_call.cc
@@ -16,8 +16,9 @@
 
 std::shared_ptr<http::Client> ClientFor(const std::string& address) {
   static std::mutex mutex;
-  // NOTE: never destroyed. The HTTP library's threads end before the statics
-  // that were made before them, and a client must not outlive those threads.
+  // NOTE: never destroyed. The HTTP library's threads end before statics that
+  // were initialized earlier are destroyed, and a client must not outlive those
+  // threads.
   static auto& clients =
       *new std::map<std::string, std::shared_ptr<http::Client>>;
   const std::lock_guard lock(mutex);
--- a/tests/support/http_call.h
+++ b/tests/support/http_call.h
@@ -1,4 +1,4 @@
-// HTTP calls that a test waits for.
+// Blocking and asynchronous HTTP calls for tests.
 
 #ifndef MEDLARSPREAD_TESTS_SUPPORT_HTTP_CALL_H_
 #define MEDLARSPREAD_TESTS_SUPPORT_HTTP_CALL_H_
@@ -21,10 +21,10 @@
   std::map<std::string, std::string> headers = {};
 };
 
-// Starts the call on the traffic threads. It ends by itself after 20 s.
+// Starts the call on the traffic threads. It times out after 20 s.
 std::future<base::Result<http::Response>> StartCall(const Call& call);
 
-// The response, or one of status 0 that carries the error as its body.
+// Returns the response, or one with status 0 and the error as its body.
 http::Response AwaitCall(const Call& call);
 
 }  // namespace medlarspread::tests
--- a/tests/support/model_store.h
+++ b/tests/support/model_store.h
@@ -1,5 +1,6 @@
-// The platform's store in virtual time: keys, their history, and the copy that
-// it comes back from. For tests of what follows it, without a network.
+// A model of the platform's store in virtual time: keys, their history, and the
+// backup that the store is restored from. For tests of store clients without a
+// network.
 
 #ifndef MEDLARSPREAD_TESTS_SUPPORT_MODEL_STORE_H_
 #define MEDLARSPREAD_TESTS_SUPPORT_MODEL_STORE_H_
@@ -18,7 +19,7 @@
 
 namespace medlarspread::tests {
 
-// How calls end while the store is away.
+// How calls fail during a store outage.
 enum class Absence { kNone, kReset, kSilent };
 
 class ModelStore {
@@ -35,7 +36,7 @@
     }
   }
   void TakeCopy() { copy_ = content_; }
-  // Loses what was written since the copy; a new era begins.
+  // Discards what was written since the backup and begins a new era.
   void Restore() {
     content_ = copy_;
     ++era_;
@@ -59,11 +60,11 @@
     }
     return values;
   }
-  // Answered or not, renewals left out.
+  // The number of calls, answered or not, except lease renewals.
   int calls() const { return calls_; }
 
-  // `did_see_era` is told of each answer; calls of whom it is not reachable for
-  // are lost.
+  // Calls `did_see_era` with the era of each response. While `is_reachable`
+  // returns false, calls get no response.
   store::EventSource source(
       std::function<void(std::int64_t)> did_see_era = [](std::int64_t) {},
       std::function<bool()> is_reachable = [] { return true; }) {
--- a/tests/support/process_group.cc
+++ b/tests/support/process_group.cc
@@ -27,7 +27,7 @@
 constexpr int kSignalBase = 128;
 constexpr int kNotStarted = 127;
 
-// The string fields of `line`, or nothing if it is no ready line.
+// The string fields of `line`, or nothing if it is not a ready line.
 std::optional<ReadyFields> ParseReadyLine(const std::string& line) {
   if (line.find(R"("ready")") == std::string::npos) {
     return std::nullopt;
@@ -76,11 +76,12 @@
   pointers.push_back(nullptr);
   identifier_ = fork();
   if (identifier_ == 0) {
-    // The child must not outlive a test that is killed for taking too long.
+    // The child must not outlive a test that is killed after a timeout.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     dup2(ends[1], STDOUT_FILENO);
-    // Sockets of stand-ins that this process holds open: a port that it closes
-    // must refuse connections, whoever was started meanwhile.
+    // Closes inherited sockets of emulated servers: when the test closes a
+    // port, the port must refuse connections even if a child was started in
+    // between.
     constexpr unsigned kFirstOther = 3;
     close_range(kFirstOther, ~0U, CLOSE_RANGE_CLOEXEC);
     execv(program.c_str(), pointers.data());
--- a/tests/support/process_group.h
+++ b/tests/support/process_group.h
@@ -1,6 +1,7 @@
-// Starts programs for a test, learns their addresses from the line of JSON
-// that they print when ready, signals them by identifier and ends them all
-// when the group goes. The product itself starts no process; its tests do.
+// Starts programs for a test, reads their addresses from the JSON line that
+// they print when ready, signals them by process identifier, and kills them all
+// when the group is destroyed. Only tests use this: the daemon itself starts no
+// process.
 
 #ifndef MEDLARSPREAD_TESTS_SUPPORT_PROCESS_GROUP_H_
 #define MEDLARSPREAD_TESTS_SUPPORT_PROCESS_GROUP_H_
@@ -17,45 +18,45 @@
 
 namespace medlarspread::tests {
 
-// How long a test waits for a condition that must come true.
+// The timeout for a condition that must become true.
 constexpr std::chrono::milliseconds kPatience(20000);
 
-// Waits until `condition` holds; false if it does not within `bound`.
+// Waits until `condition` is true. Returns false if it is not within `bound`.
 bool WaitUntil(const std::function<bool()>& condition,
                std::chrono::milliseconds bound = kPatience);
 
-// The string fields of one ready line, by name.
+// The string fields of a ready line, by name.
 using ReadyFields = std::map<std::string, std::string>;
 
 class Process {
  public:
-  // Starts `program`; its standard error goes to the test's.
+  // Starts `program` with the test's standard error.
   Process(const std::string& program,
           const std::vector<std::string>& arguments);
-  // Kills the process if it still runs.
+  // Kills the process if it is still running.
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // The next ready line on standard output, or nothing if the process ends or
-  // `bound` passes first.
+  // Returns the next ready line on standard output, or nothing if the process
+  // ends or `bound` passes first.
   std::optional<ReadyFields> AwaitReady(
       std::chrono::milliseconds bound = kPatience);
-  // All that it prints from here until it ends.
+  // Reads standard output until the process ends.
   std::string ReadToEnd(std::chrono::milliseconds bound = kPatience);
 
   void Signal(int signal) const;
-  // The exit status, or 128 plus the signal that ended it, as in a shell;
-  // nothing if it still runs when `bound` has passed.
+  // Returns the exit status, or 128 plus the signal number as a shell does, or
+  // nothing if the process is still running after `bound`.
   std::optional<int> AwaitExit(std::chrono::milliseconds bound = kPatience);
 
  private:
-  // False at the end of the output or once `deadline` has passed.
+  // Returns false at the end of the output or once `deadline` has passed.
   bool ReadMore(std::chrono::steady_clock::time_point deadline);
 
   pid_t identifier_ = -1;
   int output_ = -1;
-  // Read from output_ and not yet consumed.
+  // Bytes read from output_ and not yet consumed.
   std::string buffer_;
   std::optional<int> exit_status_;
 };
@@ -63,12 +64,12 @@
 class ProcessGroup {
  public:
   ProcessGroup() = default;
-  // Kills the processes, the last one first.
+  // Kills the processes in reverse order of their start.
   ~ProcessGroup();
   ProcessGroup(const ProcessGroup&) = delete;
   ProcessGroup& operator=(const ProcessGroup&) = delete;
 
-  // The process lives until the group goes.
+  // The process is killed when the group is destroyed.
   Process& Start(const std::string& program,
                  const std::vector<std::string>& arguments);
 
--- a/tests/support/routing_world.h
+++ b/tests/support/routing_world.h
@@ -1,6 +1,6 @@
-// A hand-driven world for routing and query tests: manual time, a blackboard
-// with daemons and leaves, and leaves that record what they are sent and answer
-// when the test says so.
+// The environment of routing and query tests, driven by the test: manual time,
+// a blackboard with daemons and leaves, and leaves that record each send and
+// reply when the test says so.
 
 #ifndef MEDLARSPREAD_TESTS_SUPPORT_ROUTING_WORLD_H_
 #define MEDLARSPREAD_TESTS_SUPPORT_ROUTING_WORLD_H_
@@ -24,7 +24,7 @@
 constexpr blackboard::KeyRange kLowerHalf{0, 32768};
 constexpr blackboard::KeyRange kUpperHalf{32768, 65536};
 
-// One send that a leaf has received.
+// A send that a leaf has received.
 struct LeafSend {
   std::string leaf;
   upstream::LeafRequest request;
@@ -123,7 +123,7 @@
         });
   }
 
-  // Answers the send at `index` whole, as the leaf should.
+  // Replies to the send at `index` with a complete, correct reply.
   void Answer(std::size_t index, const std::string& items = "[1]") {
     upstream::LeafReply reply;
     reply.outcome = upstream::LeafOutcome::kAnswered;
