--- a/tests/golden/message_text.cc
+++ b/tests/golden/message_text.cc
@@ -1,4 +1,4 @@
-// Field by field, in the order in which a reader asks.
+// Writes each message field by field, the most relevant fields first.
 
 #include "tests/golden/message_text.h"
 
--- a/tests/golden/message_text.h
+++ b/tests/golden/message_text.h
@@ -1,4 +1,5 @@
-// One-line texts of what crosses an interface, for the record of a session.
+// Formats what crosses an interface as one line of text, for the record of a
+// session.
 
 #ifndef MEDLARSPREAD_TESTS_GOLDEN_MESSAGE_TEXT_H_
 #define MEDLARSPREAD_TESTS_GOLDEN_MESSAGE_TEXT_H_
--- a/tests/golden/session_test.cc
+++ b/tests/golden/session_test.cc
@@ -1,7 +1,6 @@
-// Whole sessions against golden files. To record them again after a change
-// that is meant to alter them:
-//   MEDLARSPREAD_RECORD_GOLDEN=1 build/tests/golden_test
-// and read the difference in version control before committing it.
+// Compares whole sessions with golden files. After an intended change, record
+// them again with MEDLARSPREAD_RECORD_GOLDEN=1 build/tests/golden_test and
+// review the diff before committing it.
 
 #include <cstdlib>
 #include <fstream>
@@ -27,7 +26,7 @@
          name + ".txt";
 }
 
-// The first line that differs, for the failure message.
+// Returns the first line that differs, for the failure message.
 std::string FirstDifference(const std::string& golden,
                             const std::string& actual) {
   std::istringstream golden_lines(golden);
@@ -63,7 +62,7 @@
       << "\nTo record it again: MEDLARSPREAD_RECORD_GOLDEN=1 golden_test";
 }
 
-// Runs the session twice: the record must not depend on anything but the seed.
+// Runs the session twice, since the record must depend on nothing but the seed.
 void Check(const std::string& name,
            const std::function<void(SessionWorld&)>& session) {
   std::string records[2];
@@ -87,7 +86,8 @@
 
 TEST(SessionTest, SecondSendWins) {
   Check("second_send_wins", [](SessionWorld& world) {
-    // The owners learn how long replies take before the straggler comes.
+    // The queue owners learn the usual reply latency before the straggler
+    // occurs.
     for (int i = 0; i < 150; ++i) {
       world.Ask("vm-a", "1764691210000-warm" + std::to_string(1000 + i), true,
                 kDeadline);
--- a/tests/golden/session_world.cc
+++ b/tests/golden/session_world.cc
@@ -1,4 +1,5 @@
-// Wiring and recording of the golden sessions.
+// Connects the components of the golden sessions and records what they
+// exchange.
 
 #include "tests/golden/session_world.h"
 
@@ -22,14 +23,15 @@
 constexpr KeyRange kHalves[] = {{0, 32768}, {32768, 65536}};
 constexpr base::Duration kSameRegion = base::Duration(500);
 constexpr base::Duration kOtherRegion = Milliseconds(8);
-// Targets are learnt and a change is in force everywhere after this time.
+// After this time the targets are known and a change is in force on all
+// daemons.
 constexpr base::Duration kSettle = Milliseconds(5000);
 constexpr std::int64_t kWallStart = 1'764'691'200'000;
 
 targets::TargetsSettings MakeTargetsSettings(const std::string& name) {
   targets::TargetsSettings settings;
   settings.self = name;
-  // Every daemon reads the store itself: no heartbeats run in this world.
+  // Every daemon reads the store itself, because there are no heartbeats here.
   settings.failure_domain = name;
   return settings;
 }
--- a/tests/golden/session_world.h
+++ b/tests/golden/session_world.h
@@ -1,7 +1,7 @@
-// Three daemons' query paths, claims and targets over one manual clock, with
-// scripted leaves and a fake store. Everything that crosses an interface
-// (caller, upstream, platform, peer) is written down, one line an event, so
-// that a whole session can be compared byte by byte with a golden file.
+// Runs the query paths, claims and targets of three daemons on one manual
+// clock, with scripted leaves and a fake store. Records everything that crosses
+// an interface (caller, upstream, platform, peer), one line per event, so that
+// a whole session can be compared byte by byte with a golden file.
 
 #ifndef MEDLARSPREAD_TESTS_GOLDEN_SESSION_WORLD_H_
 #define MEDLARSPREAD_TESTS_GOLDEN_SESSION_WORLD_H_
@@ -29,7 +29,7 @@
 
 constexpr std::uint64_t kSeed = 424242;
 
-// What a leaf does with one request.
+// A leaf's behaviour for one request.
 struct LeafScript {
   base::Duration delay = base::Milliseconds(5);
   upstream::LeafOutcome outcome = upstream::LeafOutcome::kAnswered;
@@ -40,27 +40,28 @@
  public:
   SessionWorld();
 
-  // Decides what `leaf` does with its `nth` request (from 0).
+  // Returns the behaviour of `leaf` for its `nth` request (counted from 0).
   std::function<LeafScript(const std::string& leaf, int nth)> script;
 
-  // Submits a caller's request to `daemon`; the answer is recorded.
+  // Submits a caller's request to `daemon` and records the answer.
   void Ask(const std::string& daemon,
            const std::string& request_id,
            bool is_idempotent,
            base::Duration deadline);
-  // Submits an operator's change to `daemon`; the outcome is recorded.
+  // Submits an operator's change to `daemon` and records the outcome.
   void Change(const std::string& daemon,
               const std::string& change_id,
               std::int64_t expected_revision,
               int latency_ms);
   void Advance(base::Duration duration) { scheduler_->Advance(duration); }
-  // Makes the leaf hold exactly this snapshot's half of the key space.
+  // Sets the snapshot versions of which the leaf holds its half of the key
+  // space.
   void Hold(const std::string& leaf, std::vector<std::int64_t> versions);
   void SetState(const std::string& leaf, blackboard::UpstreamState state);
-  // Starts the record anew, after a part of the session that is not of
-  // interest.
+  // Clears the record after a part of the session that the test does not
+  // compare.
   void ForgetRecord() { record_.clear(); }
-  // Writes a line of the test's own into the record.
+  // Adds a line of the test itself to the record.
   void Note(const std::string& text);
 
   targets::FakeStore& store() { return store_; }
