--- a/tests/failure/answer_test.cc
+++ b/tests/failure/answer_test.cc
@@ -92,7 +92,7 @@
     AskMany(16, 16, 2000);
   }
   changer.join();
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
   EXPECT_GT(AskMany(16, 16, 5000).whole, 0);
 }
 
@@ -130,7 +130,7 @@
     EXPECT_EQ(outcomes.whole, 0) << fault;
   }
   cluster_.ControlLeaves(R"({"faults":{}})");
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
 }
 
 // Guarantee: a caller receives only its own answer, whatever leaves send.
@@ -150,7 +150,7 @@
   const Outcomes outcomes = AskMany(300, 150, 300);
   EXPECT_GT(outcomes.refused, 0);
   for (const std::string& request_id : outcomes.refused_ids) {
-    EXPECT_EQ(cluster_.MostRunsOf(request_id), 0) << request_id;
+    EXPECT_EQ(cluster_.MaxRunsOf(request_id), 0) << request_id;
   }
 }
 
@@ -164,7 +164,7 @@
   const Outcomes outcomes = AskMany(48, 12, 500);
   EXPECT_EQ(outcomes.whole, 0);
   for (const std::string& request_id : outcomes.refused_ids) {
-    EXPECT_EQ(cluster_.MostRunsOf(request_id), 0) << request_id;
+    EXPECT_EQ(cluster_.MaxRunsOf(request_id), 0) << request_id;
   }
 }
 
--- a/tests/failure/at_most_once_test.cc
+++ b/tests/failure/at_most_once_test.cc
@@ -23,13 +23,13 @@
 
   bool AwaitRun(const Ask& ask) {
     return WaitUntil(
-        [&] { return cluster_.MostRunsOf(ask.asked.request_id) > 0; });
+        [&] { return cluster_.MaxRunsOf(ask.asked.request_id) > 0; });
   }
 
   // Expects that no range of the request ran twice, and that none ran at all if
   // every response was a refusal.
   void ExpectAtMostOnce(const Ask& ask, const std::vector<int>& statuses) {
-    const int runs = cluster_.MostRunsOf(ask.asked.request_id);
+    const int runs = cluster_.MaxRunsOf(ask.asked.request_id);
     EXPECT_LE(runs, 1) << ask.asked.request_id;
     const bool is_refused = std::ranges::all_of(statuses, [](int status) {
       return status == http::kServiceUnavailable ||
@@ -112,7 +112,7 @@
   const int status = cluster_.Send(cluster_.daemons()[0], ask).status;
   EXPECT_NE(status, http::kOk);
   ExpectAtMostOnce(ask, {status});
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]))
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]))
       << "idempotent requests do not need the store";
   cluster_.ControlPlatform("faults", R"({"outage":"none"})");
 }
--- a/tests/failure/leaving_test.cc
+++ b/tests/failure/leaving_test.cc
@@ -71,7 +71,7 @@
     EXPECT_EQ(ViolationOf(ask, response), emulator::Violation::kNone);
     EXPECT_NE(response.status, http::kGatewayTimeout) << response.body;
     if (response.status != http::kOk) {
-      EXPECT_EQ(cluster_.MostRunsOf(ask.asked.request_id), 0) << response.body;
+      EXPECT_EQ(cluster_.MaxRunsOf(ask.asked.request_id), 0) << response.body;
       return false;
     }
     EXPECT_FALSE(CheckAnswer(ask.asked, response.body).is_partial)
@@ -92,7 +92,7 @@
   const auto before = cluster_.RunsOf(leaf).arrived;
   AskFor(milliseconds(2000));
   EXPECT_EQ(cluster_.RunsOf(leaf).arrived, before);
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
 }
 
 // The daemons are idle and get no replies, so they learn that the leaf drains
@@ -113,7 +113,7 @@
 TEST_F(LeavingTest, StopUnderLoadCutsNothing) {
   cluster_.StartSmall(3, {"--service-ms", "150", "--slots", "8"});
   StopUnderLoad(1, {1, 0});
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
 }
 
 TEST_F(LeavingTest, AllDaemonsStopInTurn) {
@@ -150,8 +150,8 @@
               emulator::Violation::kNone)
         << result.value().body;
   }
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[1]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[1]));
 }
 
 // New requests to a stopping daemon are refused as not executed or find no
--- a/tests/failure/mixed_test.cc
+++ b/tests/failure/mixed_test.cc
@@ -172,7 +172,7 @@
 
 void MixedTest::CheckRuns() const {
   for (const auto& [ask, statuses] : submitted_) {
-    const int runs = cluster_.MostRunsOf(ask.asked.request_id);
+    const int runs = cluster_.MaxRunsOf(ask.asked.request_id);
     const bool is_refused = std::ranges::all_of(statuses, [](int status) {
       return status == http::kServiceUnavailable ||
              status == http::kTooManyRequests;
@@ -213,7 +213,7 @@
   }
   HealAll();
   for (const Daemon* daemon : live_) {
-    EXPECT_TRUE(cluster_.AwaitWhole(*daemon));
+    EXPECT_TRUE(cluster_.AwaitFullAnswer(*daemon));
   }
   CheckRuns();
   std::map<int, int> by_status;
--- a/tests/failure/targets_test.cc
+++ b/tests/failure/targets_test.cc
@@ -74,7 +74,7 @@
       << response.status << response.body;
   for (const Daemon& daemon : cluster_.daemons()) {
     EXPECT_EQ(cluster_.TargetsOf(daemon).revision, before.revision);
-    EXPECT_TRUE(cluster_.AwaitWhole(daemon));
+    EXPECT_TRUE(cluster_.AwaitFullAnswer(daemon));
   }
   cluster_.ControlPlatform("faults", R"({"outage":"none"})");
   const auto after =
@@ -88,7 +88,7 @@
   cluster_.ControlPlatform("faults",
                            R"({"outage":"hang","outage_spares_vms":true})");
   const Daemon& late = cluster_.StartDaemon("vm-late");
-  EXPECT_TRUE(cluster_.AwaitWhole(late));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(late));
   EXPECT_EQ(cluster_.TargetsOf(late).revision,
             cluster_.TargetsOf(cluster_.daemons()[0]).revision);
   cluster_.ControlPlatform("faults", R"({"outage":"none"})");
@@ -123,7 +123,7 @@
   cluster_.ControlPlatform("faults", R"({"outage":"none"})");
   // A daemon that starts now must not apply the old targets either.
   cluster_.StartDaemon("vm-late");
-  ASSERT_TRUE(cluster_.AwaitWhole(cluster_.daemons().back()));
+  ASSERT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons().back()));
   // The store holds the new targets again once a daemon has read the old record
   // and corrected it.
   EXPECT_TRUE(WaitUntil([&] {
--- a/tests/relay/news_fleet_test.cc
+++ b/tests/relay/news_fleet_test.cc
@@ -22,8 +22,8 @@
 namespace {
 
 using base::Milliseconds;
-using tests::Absence;
 using tests::ModelStore;
+using tests::OutageKind;
 
 constexpr const char* kConfiguration = "op/config";
 constexpr int kHttpVersion = 11;
@@ -308,11 +308,11 @@
   fleet.Change();
   (void)fleet.AwaitInForce();
   const base::Duration away = fleet.Chance(Milliseconds(3'000));
-  fleet.store.set_absence(fleet.random.Below(2) == 0 ? Absence::kReset
-                                                     : Absence::kSilent);
+  fleet.store.set_outage(fleet.random.Below(2) == 0 ? OutageKind::kReset
+                                                    : OutageKind::kSilent);
   fleet.Advance(away);
   fleet.store.Restore();
-  fleet.store.set_absence(Absence::kNone);
+  fleet.store.set_outage(OutageKind::kNone);
   fleet.Advance(fleet.Chance(Milliseconds(2'000)));
   fleet.store.Write(kConfiguration, std::to_string(fleet.version));
   fleet.Advance(fleet.Chance(Milliseconds(1'000)));
@@ -345,10 +345,10 @@
 // made when it is back.
 base::Duration StoreAway(Fleet& fleet) {
   fleet.Advance(fleet.Chance(Milliseconds(1'000)));
-  fleet.store.set_absence(fleet.random.Below(2) == 0 ? Absence::kReset
-                                                     : Absence::kSilent);
+  fleet.store.set_outage(fleet.random.Below(2) == 0 ? OutageKind::kReset
+                                                    : OutageKind::kSilent);
   fleet.Advance(Milliseconds(200) + fleet.Chance(Milliseconds(5'000)));
-  fleet.store.set_absence(Absence::kNone);
+  fleet.store.set_outage(OutageKind::kNone);
   fleet.Change();
   return fleet.AwaitInForce();
 }
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -130,7 +130,7 @@
            http::kOk;
   }));
   for (const Daemon& daemon : daemons_) {
-    ASSERT_TRUE(AwaitWhole(daemon)) << daemon.name;
+    ASSERT_TRUE(AwaitFullAnswer(daemon)) << daemon.name;
   }
 }
 
@@ -176,7 +176,7 @@
           NumberOf(json, "started")};
 }
 
-int Cluster::MostRunsOf(const std::string& request_id) const {
+int Cluster::MaxRunsOf(const std::string& request_id) const {
   std::map<std::int64_t, int> runs;
   for (const Leaf& leaf : leaves_) {
     const http::Response response =
@@ -274,7 +274,7 @@
   return failure;
 }
 
-bool Cluster::AwaitWhole(const Daemon& daemon) {
+bool Cluster::AwaitFullAnswer(const Daemon& daemon) {
   std::string last;
   const bool is_whole = WaitUntil([&] {
     const Ask ask = MakeAsk();
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -84,7 +84,7 @@
   LeafRuns RunsOf(const Leaf& leaf) const;
   // Counts over all leaves how often each range of the request was started, and
   // returns the highest count.
-  int MostRunsOf(const std::string& request_id) const;
+  int MaxRunsOf(const std::string& request_id) const;
 
   // Calls to the operators' interface.
   http::Response PutTargets(
@@ -110,7 +110,7 @@
   http::Response Send(const Daemon& daemon, const Ask& ask) const;
   // Waits until the daemon gives a complete and correct answer; false if it
   // does not within kPatience.
-  bool AwaitWhole(const Daemon& daemon);
+  bool AwaitFullAnswer(const Daemon& daemon);
 
  private:
   // The settings file of a daemon.
--- a/tests/support/model_store.h
+++ b/tests/support/model_store.h
@@ -20,7 +20,7 @@
 namespace medlarspread::tests {
 
 // How calls fail during a store outage.
-enum class Absence { kNone, kReset, kSilent };
+enum class OutageKind { kNone, kReset, kSilent };
 
 class ModelStore {
  public:
@@ -35,16 +35,16 @@
       watch();
     }
   }
-  void TakeCopy() { copy_ = content_; }
+  void TakeCopy() { backup_ = content_; }
   // Discards what was written since the backup and begins a new era.
   void Restore() {
-    content_ = copy_;
+    content_ = backup_;
     ++era_;
     CutWatches();
   }
-  void set_absence(Absence absence) {
-    absence_ = absence;
-    if (absence == Absence::kReset) {
+  void set_outage(OutageKind outage) {
+    outage_ = outage;
+    if (outage == OutageKind::kReset) {
       CutWatches();
     }
   }
@@ -68,30 +68,30 @@
   store::EventSource source(
       std::function<void(std::int64_t)> did_see_era = [](std::int64_t) {},
       std::function<bool()> is_reachable = [] { return true; }) {
-    const std::function<Absence()> absence = [this, is_reachable] {
-      return is_reachable() ? absence_ : Absence::kSilent;
+    const std::function<OutageKind()> outage = [this, is_reachable] {
+      return is_reachable() ? outage_ : OutageKind::kSilent;
     };
     store::EventSource source;
-    source.list = [this, did_see_era, absence](
+    source.list = [this, did_see_era, outage](
                       const std::string&, const std::string& after,
                       std::function<void(base::Result<store::Page>)> done) {
       ++calls_;
-      Answer<store::Page>(absence, did_see_era, std::move(done),
+      Answer<store::Page>(outage, did_see_era, std::move(done),
                           [this, after] { return ReadPage(after); });
     };
-    source.watch = [this, did_see_era, absence](
+    source.watch = [this, did_see_era, outage](
                        const std::string&, std::int64_t cursor,
                        base::Duration wait,
                        std::function<void(base::Result<store::Changes>)> done) {
       ++calls_;
-      runner_.After(kOneWay, [this, did_see_era, absence, cursor, wait, done] {
-        StartWatch(cursor, wait, absence, did_see_era, done);
+      runner_.After(kOneWay, [this, did_see_era, outage, cursor, wait, done] {
+        StartWatch(cursor, wait, outage, did_see_era, done);
       });
     };
-    source.keep_lease = [this, did_see_era, absence](
+    source.keep_lease = [this, did_see_era, outage](
                             std::int64_t,
                             std::function<void(base::Status)> done) {
-      Answer<base::Done>(absence, did_see_era, std::move(done),
+      Answer<base::Done>(outage, did_see_era, std::move(done),
                          [] { return base::Done{}; });
     };
     return source;
@@ -115,17 +115,17 @@
   }
 
   template <typename T>
-  void Answer(const std::function<Absence()>& absence,
+  void Answer(const std::function<OutageKind()>& outage,
               std::function<void(std::int64_t)> did_see_era,
               std::function<void(base::Result<T>)> done,
               std::function<T()> read) {
-    runner_.After(kOneWay, [this, absence, did_see_era, done, read] {
-      if (absence() == Absence::kSilent) {
+    runner_.After(kOneWay, [this, outage, did_see_era, done, read] {
+      if (outage() == OutageKind::kSilent) {
         runner_.After(kListTimeout,
                       [done] { done(Failure(base::ErrorCode::kTimeout)); });
         return;
       }
-      if (absence() == Absence::kReset) {
+      if (outage() == OutageKind::kReset) {
         runner_.After(kOneWay, [done] {
           done(Failure(base::ErrorCode::kConnectionLost));
         });
@@ -181,11 +181,11 @@
 
   void StartWatch(std::int64_t cursor,
                   base::Duration wait,
-                  const std::function<Absence()>& absence,
+                  const std::function<OutageKind()>& outage,
                   const std::function<void(std::int64_t)>& did_see_era,
                   const WatchCallback& done) {
-    if (absence() != Absence::kNone) {
-      const bool is_silent = absence() == Absence::kSilent;
+    if (outage() != OutageKind::kNone) {
+      const bool is_silent = outage() == OutageKind::kSilent;
       runner_.After(is_silent ? kSilence : kOneWay, [done, is_silent] {
         done(Failure(is_silent ? base::ErrorCode::kTimeout
                                : base::ErrorCode::kConnectionLost));
@@ -198,8 +198,8 @@
       return;
     }
     const auto open = std::make_shared<WatchCallback>(done);
-    const auto answer = [this, open, cursor, absence, did_see_era] {
-      const bool is_lost = absence() != Absence::kNone;
+    const auto answer = [this, open, cursor, outage, did_see_era] {
+      const bool is_lost = outage() != OutageKind::kNone;
       if (const auto callback =
               is_lost ? nullptr : std::exchange(*open, nullptr)) {
         did_see_era(era_);
@@ -221,9 +221,9 @@
 
   const base::TaskRunner runner_;
   Content content_;
-  Content copy_;
+  Content backup_;
   std::int64_t era_ = 1;
-  Absence absence_ = Absence::kNone;
+  OutageKind outage_ = OutageKind::kNone;
   int calls_ = 0;
   std::vector<std::function<void()>> watches_;
   std::vector<std::function<void()>> cuts_;
