--- a/tests/fleet/address_reuse_test.cc
+++ b/tests/fleet/address_reuse_test.cc
@@ -48,7 +48,7 @@
   return plan;
 }
 
-TEST(AddressReuseTest, TheNewLeafGetsNoMoreThanItsShardBears) {
+TEST(AddressReuseTest, TheNewLeafStaysWithinTheExtraSendBound) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const FleetReport report =
         VirtualFleet(WithReusedAddress(SmallFleet(seed))).Run();
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(AddressReuseTest, TheNewLeafGetsNoMoreThanItsShardBearsInALargeFleet) {
+TEST(AddressReuseTest, TheNewLeafStaysWithinTheExtraSendBoundInALargeFleet) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     const FleetReport report =
         VirtualFleet(WithReusedAddress(LargeFleet(seed))).Run();
--- a/tests/fleet/deadly_request_test.cc
+++ b/tests/fleet/deadly_request_test.cc
@@ -45,7 +45,7 @@
 
 // From four seconds after the third leaf has crashed on it, at most three more
 // attempts of the request may reach leaves, counted over all daemons.
-TEST(DeadlyRequestTest, ReachesFewLeavesOnceThreeHaveEnded) {
+TEST(DeadlyRequestTest, ReachesFewLeavesAfterThreeCrashes) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (const FleetPlan& fleet : {SmallFleet(seed), LargeFleet(seed)}) {
       const FleetReport report = VirtualFleet(WithDeadlyRequest(fleet)).Run();
@@ -82,7 +82,7 @@
 
 // Runs the plan and expects no violations. Returns how many attempts reached
 // leaves after the request should have been quarantined.
-int ExpectKnown(const FleetPlan& plan) {
+int ExpectDetected(const FleetPlan& plan) {
   const FleetReport report = VirtualFleet(plan).Run();
   EXPECT_EQ(report.violations, std::vector<std::string>{})
       << "seed " << plan.seed;
@@ -90,29 +90,29 @@
   return report.deadly_retries;
 }
 
-TEST(DeadlyRequestTest, OfOneLeafIsKnownToo) {
+TEST(DeadlyRequestTest, ToOneShardIsDetected) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    EXPECT_EQ(ExpectKnown(WithDeadlyFetch(seed, true)), 0);
+    EXPECT_EQ(ExpectDetected(WithDeadlyFetch(seed, true)), 0);
   }
 }
 
 // Each attempt reaches one leaf only, so the third attempt reveals the request.
-TEST(DeadlyRequestTest, ThatMayRunOnceIsKnownToo) {
+TEST(DeadlyRequestTest, ThatIsNotIdempotentIsDetected) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyFetch(seed, false);
     plan.deadly_requests.front().times = 10;
     plan.length = Milliseconds(48'000);
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
 // The store keeps the quarantine entry.
-TEST(DeadlyRequestTest, IsKnownAfterTheLossOfAllPower) {
+TEST(DeadlyRequestTest, IsKnownAfterAPowerLoss) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kPowerLoss, Milliseconds(11'500),
                       Milliseconds(12'500), 1.0, 1.0, ""}};
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
@@ -120,7 +120,7 @@
 // limit of three attempts does not apply to a daemon that has just started and
 // can't reach the store: here all attempts count, and four are the most that
 // was observed.
-TEST(DeadlyRequestTest, IsFoundOutAnewIfAllPowerGoesWithTheStoreAway) {
+TEST(DeadlyRequestTest, IsDetectedAgainAfterAPowerLossDuringAStoreOutage) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kStoreAway, Milliseconds(2'000),
@@ -128,52 +128,52 @@
                      {TroubleKind::kPowerLoss, Milliseconds(11'500),
                       Milliseconds(12'500), 1.0, 1.0, ""}};
     plan.most_deadly_retries = 4;
-    EXPECT_LE(ExpectKnown(plan), 4);
+    EXPECT_LE(ExpectDetected(plan), 4);
   }
 }
 
 // The daemons inform each other.
-TEST(DeadlyRequestTest, IsKnownWithTheStoreAway) {
+TEST(DeadlyRequestTest, IsDetectedDuringAStoreOutage) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kStoreAway, Milliseconds(2'000),
                       Milliseconds(40'000), 1.0, 1.0, ""}};
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
-TEST(DeadlyRequestTest, IsKnownWhereDatagramsAreLost) {
+TEST(DeadlyRequestTest, IsDetectedDespiteLostDatagrams) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.datagrams_lost = 0.3;
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
 // A third of the daemons is frozen while the request is detected.
-TEST(DeadlyRequestTest, IsKnownToDaemonsThatStoodStill) {
+TEST(DeadlyRequestTest, IsKnownToDaemonsThatWereFrozen) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kFrozenDaemons, Milliseconds(4'900),
                       Milliseconds(8'500), 1.0, 0.33, ""}};
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
-TEST(DeadlyRequestTest, TwoAtATimeAreBothKnown) {
+TEST(DeadlyRequestTest, TwoAtATimeAreBothDetected) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyFetch(seed, true);
     DeadlyRequest sweep = plan.deadly_requests.front();
     sweep.class_name = "sweep";
     plan.deadly_requests.push_back(sweep);
-    EXPECT_LE(ExpectKnown(plan), 1);
+    EXPECT_LE(ExpectDetected(plan), 1);
     EXPECT_EQ(VirtualFleet(plan).Run().verdicts, 2) << "seed " << seed;
   }
 }
 
 // Other requests are served while the deadly one keeps coming: each shard keeps
 // a leaf.
-TEST(DeadlyRequestTest, TheOthersAreServed) {
+TEST(DeadlyRequestTest, OtherRequestsAreServed) {
   CallerCounts counts;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     const FleetReport report =
@@ -219,7 +219,7 @@
 // Whether callers always send the same request, one of twenty, or never the
 // same twice: no request is blocked because of leaves that crash for unrelated
 // reasons.
-TEST(DeadlyRequestTest, NobodyIsConvictedOfLeavesThatEndByThemselves) {
+TEST(DeadlyRequestTest, UnrelatedCrashesQuarantineNoRequest) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     for (const int targets : {1, 20, 0}) {
       FleetPlan plan = WithCrashes(seed);
@@ -246,7 +246,7 @@
 class CrashLoopTest
     : public testing::TestWithParam<std::tuple<std::uint64_t, int>> {};
 
-TEST_P(CrashLoopTest, WhatItConvictedIsClearedAgain) {
+TEST_P(CrashLoopTest, QuarantineIsClearedAgain) {
   const auto [seed, targets] = GetParam();
   const FleetReport report = RunCrashLoop(seed, targets);
   EXPECT_EQ(report.standing_verdicts, 0);
@@ -260,11 +260,12 @@
 
 // Three of the runs above. If none of them quarantined a request, CrashLoopTest
 // would prove nothing.
-TEST(DeadlyRequestTest, SomeCrashLoopsConvict) {
+TEST(DeadlyRequestTest, SomeCrashLoopsQuarantineARequest) {
   const int convicted = RunCrashLoop(9, 20).verdicts +
                         RunCrashLoop(12, 20).verdicts +
                         RunCrashLoop(13, 1).verdicts;
-  EXPECT_GT(convicted, 0) << "the load shows nothing any more";
+  EXPECT_GT(convicted, 0)
+      << "no run quarantined a request, so CrashLoopTest proves nothing";
 }
 
 }  // namespace
--- a/tests/fleet/handed_over_repeats_test.cc
+++ b/tests/fleet/handed_over_repeats_test.cc
@@ -37,14 +37,14 @@
   return plan;
 }
 
-TEST(HandedOverRepeatsTest, APartThatLeavesRejectedIsNotSentOnceMoreForFree) {
+TEST(HandedOverRepeatsTest, ResendsAfterRejectionsAreCounted) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const FleetReport report = VirtualFleet(WithRejectingLeaves(seed)).Run();
     EXPECT_EQ(report.violations, std::vector<std::string>{}) << "seed " << seed;
   }
 }
 
-TEST(HandedOverRepeatsTest, APartOfASilentAggregatorIsNotSentOnceMoreForFree) {
+TEST(HandedOverRepeatsTest, ResendsAfterASilentAggregatorAreCounted) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const FleetReport report = VirtualFleet(WithMuteDaemons(seed)).Run();
     EXPECT_EQ(report.violations, std::vector<std::string>{}) << "seed " << seed;
--- a/tests/fleet/load_patterns_test.cc
+++ b/tests/fleet/load_patterns_test.cc
@@ -18,7 +18,7 @@
 
 // Sums the callers' counts over the seconds that the pattern is about, over all
 // seeds.
-CallerCounts Play(const char* name, std::uint64_t seeds = kSeeds) {
+CallerCounts RunPattern(const char* name, std::uint64_t seeds = kSeeds) {
   const Pattern* pattern = FindPattern(name);
   CallerCounts all;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -32,30 +32,30 @@
 
 // Pauses of leaves alone cost callers nothing, because second sends go to other
 // leaves.
-TEST(LoadPatternsTest, PausesCostNothing) {
-  EXPECT_GT(Play("calm").mean_credit(), 0.997);
+TEST(LoadPatternsTest, PausesOfLeavesCostNothing) {
+  EXPECT_GT(RunPattern("calm").mean_credit(), 0.997);
 }
 
 // The second-send budget earned in calm seconds is available when leaves begin
 // to lose replies, and those leaves are avoided while another leaf replies in
 // time. With a bucket that saved up three sends and a failure penalty of 80 ms
 // the result was 0.873.
-TEST(LoadPatternsTest, LeavesThatLoseAnswersAreGoneRound) {
-  EXPECT_GT(Play("resets").mean_credit(), 0.885);
+TEST(LoadPatternsTest, LeavesThatLoseRepliesAreAvoided) {
+  EXPECT_GT(RunPattern("resets").mean_credit(), 0.885);
 }
 
 // An at-most-once request whose reply is lost can't be retried. With a failure
 // penalty of 80 ms the result was 0.940.
-TEST(LoadPatternsTest, RequestsThatCantRepeatGoRoundLeavesThatFail) {
-  EXPECT_GT(Play("resets_single").mean_credit(), 0.98);
+TEST(LoadPatternsTest, NonIdempotentRequestsAvoidFailingLeaves) {
+  EXPECT_GT(RunPattern("resets_single").mean_credit(), 0.98);
 }
 
 // The leaves can answer a third of the requests. The other requests are
 // answered at once without the shard: the median latency is less than half of
 // the target. When all requests were sent, all of them waited for the target,
 // and the result was 0.812.
-TEST(LoadPatternsTest, AShardThatIsSlowAllOverHoldsUpNobody) {
-  const CallerCounts counts = Play("slow_shard");
+TEST(LoadPatternsTest, AShardOfSlowLeavesDelaysNoCaller) {
+  const CallerCounts counts = RunPattern("slow_shard");
   EXPECT_GT(counts.mean_credit(), 0.82);
   std::vector<base::Duration> times = counts.latencies;
   std::nth_element(
@@ -65,16 +65,16 @@
   EXPECT_LT(times[times.size() / 2], base::Milliseconds(75));
 }
 
-TEST(LoadPatternsTest, SlowLeavesAreGoneRound) {
-  EXPECT_GT(Play("slow_leaves").mean_credit(), 0.975);
+TEST(LoadPatternsTest, SlowLeavesAreAvoided) {
+  EXPECT_GT(RunPattern("slow_leaves").mean_credit(), 0.975);
 }
 
-TEST(LoadPatternsTest, SilentLeavesAreGoneRound) {
-  EXPECT_GT(Play("dark_leaf").mean_credit(), 0.98);
+TEST(LoadPatternsTest, SilentLeavesAreAvoided) {
+  EXPECT_GT(RunPattern("dark_leaf").mean_credit(), 0.98);
 }
 
-TEST(LoadPatternsTest, RefusingLeavesAreGoneRound) {
-  EXPECT_GT(Play("sheds").mean_credit(), 0.93);
+TEST(LoadPatternsTest, RefusingLeavesAreAvoided) {
+  EXPECT_GT(RunPattern("sheds").mean_credit(), 0.93);
 }
 
 // Sends that lost the race to a second send are cancelled, except for one per
@@ -82,33 +82,33 @@
 // for. When all of them continued for 250 ms, the result was 0.713. A request
 // for which too many shards have no leaf with capacity is not sent at all; when
 // it was, the result was 0.803.
-TEST(LoadPatternsTest, InABurstLeavesWorkForThoseThatAreAnswered) {
-  EXPECT_GT(Play("burst").mean_credit(), 0.84);
+TEST(LoadPatternsTest, InABurstLeavesWorkOnRequestsThatAreAnswered) {
+  EXPECT_GT(RunPattern("burst").mean_credit(), 0.84);
 }
 
 // After a restart the fleet has no latency data on its leaves, whose
 // connections are still held by the previous daemon processes. When all sends
 // that lost the race continued, the result was 0.841.
-TEST(LoadPatternsTest, AFleetThatLostPowerServesAgainAtOnce) {
-  EXPECT_GT(Play("power_loss").mean_credit(), 0.85);
+TEST(LoadPatternsTest, AFleetServesAtOnceAfterAPowerLoss) {
+  EXPECT_GT(RunPattern("power_loss").mean_credit(), 0.85);
 }
 
 // 195 daemons with nothing to learn: the reports that they exchange must not
 // reduce service.
-TEST(LargeLoadPatternsTest, ALargeFleetInCalmServesAll) {
-  EXPECT_GT(Play("large_calm", 2).mean_credit(), 0.997);
+TEST(LargeLoadPatternsTest, ALargeFleetWithoutFaultsServesAll) {
+  EXPECT_GT(RunPattern("large_calm", 2).mean_credit(), 0.997);
 }
 
 // Each of 195 daemons sends one request in eight seconds. When each daemon had
 // to detect by itself that half of the leaves are slow, the result was 0.618.
 TEST(LargeLoadPatternsTest, ALargeFleetLearnsTogetherWhichLeavesAreSlow) {
-  EXPECT_GT(Play("large_slow_single").mean_credit(), 0.93);
+  EXPECT_GT(RunPattern("large_slow_single").mean_credit(), 0.93);
 }
 
 // The same with leaves that lose one reply in twelve, for at-most-once
 // requests. Without exchanged reports the result was 0.925.
-TEST(LargeLoadPatternsTest, ALargeFleetLearnsTogetherWhichLeavesLoseAnswers) {
-  EXPECT_GT(Play("large_resets_single").mean_credit(), 0.94);
+TEST(LargeLoadPatternsTest, ALargeFleetLearnsTogetherWhichLeavesLoseReplies) {
+  EXPECT_GT(RunPattern("large_resets_single").mean_credit(), 0.94);
 }
 
 // A fifth of the daemons, aggregators among them, is frozen for three seconds.
@@ -116,7 +116,7 @@
 // up only after a third of the request's time; requests sent to other daemons
 // must be answered.
 TEST(LargeLoadPatternsTest, FrozenAggregatorsCostFewAnswers) {
-  const CallerCounts counts = Play("large_frozen", 4);
+  const CallerCounts counts = RunPattern("large_frozen", 4);
   EXPECT_LT(counts.failed + counts.refused, 0.04 * counts.asked);
 }
 
@@ -124,7 +124,7 @@
 // violated.
 class DrawnFleetTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(DrawnFleetTest, KeepsItsPromises) {
+TEST_P(DrawnFleetTest, ViolatesNoInvariant) {
   const FleetReport report = VirtualFleet(DrawPlan(GetParam())).Run();
   EXPECT_EQ(report.violations, std::vector<std::string>{});
 }
--- a/tests/fleet/virtual_fleet_test.cc
+++ b/tests/fleet/virtual_fleet_test.cc
@@ -35,7 +35,7 @@
 
 // The extra-send bound is set to nearly zero only for the check, while the
 // daemons still use their configured one.
-TEST(VirtualFleetTest, SeesTooManyExtraSends) {
+TEST(VirtualFleetTest, DetectsTooManyExtraSends) {
   FleetPlan plan = ShortPlan(1);
   plan.checked_extra_sends = admission::ExtraSendBound{0.0, 1.0};
   EXPECT_FALSE(VirtualFleet(plan).Run().violations.empty());
