--- a/tests/failure/answer_test.cc
+++ b/tests/failure/answer_test.cc
@@ -25,7 +25,7 @@
  protected:
   // Sends `count` requests, `width` at a time, to all daemons in turn, and
   // expects every answer to be free of violations.
-  Outcomes AskMany(int count, int width, int deadline_ms) {
+  Outcomes SendMany(int count, int width, int deadline_ms) {
     Outcomes outcomes;
     for (int done = 0; done < count; done += width) {
       std::vector<Ask> asks;
@@ -41,7 +41,7 @@
         const auto result = replies[index].get();
         EXPECT_TRUE(result.is_ok()) << result.error().ToString();
         if (result.is_ok()) {
-          Note(asks[index], result.value(), outcomes);
+          CountOutcome(asks[index], result.value(), outcomes);
         }
       }
     }
@@ -49,9 +49,9 @@
   }
 
  private:
-  static void Note(const Ask& ask,
-                   const http::Response& response,
-                   Outcomes& outcomes) {
+  static void CountOutcome(const Ask& ask,
+                           const http::Response& response,
+                           Outcomes& outcomes) {
     EXPECT_EQ(ViolationOf(ask, response), Violation::kNone)
         << emulator::kViolations.NameOf(ViolationOf(ask, response)) << " in "
         << response.status << " " << response.body;
@@ -89,11 +89,11 @@
     is_changing = false;
   });
   while (is_changing) {
-    AskMany(16, 16, 2000);
+    SendMany(16, 16, 2000);
   }
   changer.join();
   EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
-  EXPECT_GT(AskMany(16, 16, 5000).whole, 0);
+  EXPECT_GT(SendMany(16, 16, 5000).whole, 0);
 }
 
 // A reply from another index version than the requested one is not counted.
@@ -103,16 +103,16 @@
                        R"({"faults":{"wrong_version":1}})");
   cluster_.ControlLeaf(cluster_.leaves()[1],
                        R"({"faults":{"wrong_version":0.5}})");
-  EXPECT_GT(AskMany(64, 8, 2000).whole, 0);
+  EXPECT_GT(SendMany(64, 8, 2000).whole, 0);
 }
 
 // Guarantee: an answer states its true coverage when replicas are lost.
 TEST_F(AnswerTest, StatesCoverageTrulyWhenReplicasAreLost) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   cluster_.leaves()[1].process->Signal(SIGKILL);
-  AskMany(16, 8, 1000);
+  SendMany(16, 8, 1000);
   cluster_.leaves()[3].process->Signal(SIGKILL);
-  const Outcomes outcomes = AskMany(16, 8, 1000);
+  const Outcomes outcomes = SendMany(16, 8, 1000);
   EXPECT_EQ(outcomes.whole, 0) << "nobody holds the upper half any more";
   EXPECT_GT(outcomes.partial, 0);
 }
@@ -126,7 +126,7 @@
       cluster_.ControlLeaf(cluster_.leaves()[index],
                            R"({"faults":{")" + fault + R"(":1}})");
     }
-    const Outcomes outcomes = AskMany(16, 8, 1000);
+    const Outcomes outcomes = SendMany(16, 8, 1000);
     EXPECT_EQ(outcomes.whole, 0) << fault;
   }
   cluster_.ControlLeaves(R"({"faults":{}})");
@@ -139,7 +139,7 @@
   cluster_.ControlLeaves(
       R"({"late_ms":200,"faults":{"crossed":0.15,"duplicated":0.1,)"
       R"("late":0.15,"lost":0.02}})");
-  const Outcomes outcomes = AskMany(120, 24, 1500);
+  const Outcomes outcomes = SendMany(120, 24, 1500);
   EXPECT_GT(outcomes.whole, 0);
 }
 
@@ -147,7 +147,7 @@
 // under overload.
 TEST_F(AnswerTest, RefusesTrulyUnderOverload) {
   cluster_.StartSmall(2, {"--service-ms", "40"});
-  const Outcomes outcomes = AskMany(300, 150, 300);
+  const Outcomes outcomes = SendMany(300, 150, 300);
   EXPECT_GT(outcomes.refused, 0);
   for (const std::string& request_id : outcomes.refused_ids) {
     EXPECT_EQ(cluster_.MaxRunsOf(request_id), 0) << request_id;
@@ -161,7 +161,7 @@
   cluster_.ControlLeaf(cluster_.leaves()[1], R"({"refuse":"cold"})");
   cluster_.ControlLeaf(cluster_.leaves()[2], R"({"refuse":"shed"})");
   cluster_.ControlLeaf(cluster_.leaves()[3], R"({"faults":{"lost":1}})");
-  const Outcomes outcomes = AskMany(48, 12, 500);
+  const Outcomes outcomes = SendMany(48, 12, 500);
   EXPECT_EQ(outcomes.whole, 0);
   for (const std::string& request_id : outcomes.refused_ids) {
     EXPECT_EQ(cluster_.MaxRunsOf(request_id), 0) << request_id;
--- a/tests/failure/leaving_test.cc
+++ b/tests/failure/leaving_test.cc
@@ -17,7 +17,7 @@
 class LeavingTest : public FailureTest {
  protected:
   // Sends requests to all daemons in turn until `length` has passed.
-  void AskFor(milliseconds length) {
+  void SendFor(milliseconds length) {
     const auto end = steady_clock::now() + length;
     for (std::size_t number = 0; steady_clock::now() < end; ++number) {
       const auto& daemons = cluster_.daemons();
@@ -88,9 +88,9 @@
   cluster_.ControlLeaf(leaf,
                        R"({"state":"draining","refuses_when_draining":false,)"
                        R"("health_lag_ms":600000})");
-  AskFor(milliseconds(2000));
+  SendFor(milliseconds(2000));
   const auto before = cluster_.RunsOf(leaf).arrived;
-  AskFor(milliseconds(2000));
+  SendFor(milliseconds(2000));
   EXPECT_EQ(cluster_.RunsOf(leaf).arrived, before);
   EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
 }
@@ -104,7 +104,7 @@
                        R"({"state":"draining","refuses_when_draining":false})");
   std::this_thread::sleep_for(milliseconds(2000));
   const auto before = cluster_.RunsOf(leaf).arrived;
-  AskFor(milliseconds(1000));
+  SendFor(milliseconds(1000));
   EXPECT_EQ(cluster_.RunsOf(leaf).arrived, before);
 }
 
@@ -133,7 +133,7 @@
 // The daemon is killed without a planned stop: its requests in flight may be
 // lost, but no answer is false, and the other daemons soon answer in full
 // again.
-TEST_F(LeavingTest, KilledDaemonIsDoneWithout) {
+TEST_F(LeavingTest, OtherDaemonsServeAfterAKill) {
   cluster_.StartSmall(3, {"--service-ms", "20"});
   std::vector<Ask> asks;
   std::vector<std::future<base::Result<http::Response>>> replies;
--- a/tests/failure/mixed_test.cc
+++ b/tests/failure/mixed_test.cc
@@ -46,11 +46,11 @@
 
 class MixedTest : public FailureTest {
  protected:
-  void Inflict(Fault fault);
-  void HealAll();
+  void InjectFault(Fault fault);
+  void ClearFaults();
   // Sends a batch of requests and checks the responses. About half of the
   // requests are non-idempotent, and each of those is sent to two daemons.
-  void AskBatch();
+  void SendBatch();
   void CheckRuns() const;
   void Unfreeze() {
     for (const Process* process : std::exchange(frozen_, {})) {
@@ -58,20 +58,22 @@
     }
   }
 
-  Leaf& AnyLeaf() {
+  Leaf& RandomLeaf() {
     return cluster_.leaves()[random_.Below(cluster_.leaves().size())];
   }
   // A daemon whose process was not killed.
-  Daemon& AnyDaemon() { return *live_[random_.Below(live_.size())]; }
+  Daemon& RandomDaemon() {
+    return *running_daemons_[random_.Below(running_daemons_.size())];
+  }
 
   base::Random random_{seed_};
-  std::vector<Daemon*> live_;
+  std::vector<Daemon*> running_daemons_;
   std::vector<Submitted> submitted_;
   std::vector<Process*> frozen_;
   int version_ = 1;
 };
 
-void MixedTest::Inflict(Fault fault) {
+void MixedTest::InjectFault(Fault fault) {
   // A frozen leaf can't receive its next control call.
   Unfreeze();
   switch (fault) {
@@ -82,13 +84,13 @@
           R"("duplicated":0.05,"late":0.05}})");
       break;
     case Fault::kLostReplies:
-      cluster_.ControlLeaf(AnyLeaf(), R"({"faults":{"lost":0.3}})");
+      cluster_.ControlLeaf(RandomLeaf(), R"({"faults":{"lost":0.3}})");
       break;
     case Fault::kSlowLeaf:
-      cluster_.ControlLeaf(AnyLeaf(), R"({"slow_factor":20})");
+      cluster_.ControlLeaf(RandomLeaf(), R"({"slow_factor":20})");
       break;
     case Fault::kFrozenLeaf:
-      frozen_.push_back(AnyLeaf().process);
+      frozen_.push_back(RandomLeaf().process);
       frozen_.back()->Signal(SIGSTOP);
       break;
     case Fault::kDrainingLeaf:
@@ -105,7 +107,7 @@
         cluster_.ControlLeaf(
             leaf, R"({"holdings":")" + std::to_string(version_) +
                       ":1:" + (is_low ? "0-32768" : "32768-65536") + "\"}");
-        AskBatch();
+        SendBatch();
       }
       break;
     case Fault::kStoreOutage:
@@ -117,27 +119,28 @@
       cluster_.ControlPlatform("faults", R"({"lose_write_replies":3})");
       break;
     case Fault::kFrozenDaemon:
-      frozen_.push_back(AnyDaemon().process);
+      frozen_.push_back(RandomDaemon().process);
       frozen_.back()->Signal(SIGSTOP);
       break;
     case Fault::kKilledDaemon:
-      if (live_.size() > 2) {
-        const std::size_t index = random_.Below(live_.size());
-        live_[index]->process->Signal(SIGKILL);
-        live_.erase(live_.begin() + static_cast<std::ptrdiff_t>(index));
+      if (running_daemons_.size() > 2) {
+        const std::size_t index = random_.Below(running_daemons_.size());
+        running_daemons_[index]->process->Signal(SIGKILL);
+        running_daemons_.erase(running_daemons_.begin() +
+                               static_cast<std::ptrdiff_t>(index));
       }
       break;
   }
 }
 
-void MixedTest::HealAll() {
+void MixedTest::ClearFaults() {
   Unfreeze();
   cluster_.ControlLeaves(R"({"faults":{},"slow_factor":1,"state":"serving"})");
   cluster_.ControlPlatform("faults",
                            R"({"outage":"none","lose_write_replies":0})");
 }
 
-void MixedTest::AskBatch() {
+void MixedTest::SendBatch() {
   using Reply = std::future<base::Result<http::Response>>;
   constexpr int kBatch = 8;
   std::vector<std::vector<Reply>> replies(kBatch);
@@ -146,9 +149,9 @@
     Ask ask = cluster_.MakeAsk();
     ask.deadline_ms = 400;
     ask.is_idempotent = random_.Below(2) == 0;
-    copies.push_back(cluster_.Start(AnyDaemon(), ask));
+    copies.push_back(cluster_.Start(RandomDaemon(), ask));
     if (!ask.is_idempotent) {
-      copies.push_back(cluster_.Start(AnyDaemon(), ask));
+      copies.push_back(cluster_.Start(RandomDaemon(), ask));
     }
     submitted_.push_back({ask, {}});
   }
@@ -187,10 +190,10 @@
   }
 }
 
-TEST_F(MixedTest, KeepsItsPromises) {
+TEST_F(MixedTest, ViolatesNoGuarantee) {
   cluster_.StartSmall(3, {"--service-ms", "4"});
   for (Daemon& daemon : cluster_.daemons()) {
-    live_.push_back(&daemon);
+    running_daemons_.push_back(&daemon);
   }
   constexpr int kRounds = 20;
   constexpr std::chrono::seconds kLongest(40);
@@ -203,16 +206,16 @@
           kFaults.rows[random_.Below(kFaults.rows.size())].first;
       std::cout << "round " << round << ": " << kFaults.NameOf(fault)
                 << std::endl;
-      Inflict(fault);
+      InjectFault(fault);
     }
-    AskBatch();
-    AskBatch();
+    SendBatch();
+    SendBatch();
     if (random_.Below(2) == 0) {
-      HealAll();
+      ClearFaults();
     }
   }
-  HealAll();
-  for (const Daemon* daemon : live_) {
+  ClearFaults();
+  for (const Daemon* daemon : running_daemons_) {
     EXPECT_TRUE(cluster_.AwaitFullAnswer(*daemon));
   }
   CheckRuns();
--- a/tests/failure/opaque_test.cc
+++ b/tests/failure/opaque_test.cc
@@ -319,7 +319,7 @@
   EXPECT_EQ(daemon.process->AwaitExit(), 0);
 }
 
-TEST_F(OpaqueTest, GoesOnWhileTheStoreIsAwayAndLearnsWhatItMissed) {
+TEST_F(OpaqueTest, ServesDuringAStoreOutageAndCatchesUp) {
   const Daemon daemon = Start("vm1");
   Configure(3);
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
@@ -335,7 +335,7 @@
   }));
 }
 
-TEST_F(OpaqueTest, ReadsTheStoreAnewWhenItForgotItsHistory) {
+TEST_F(OpaqueTest, ListsTheStoreAgainWhenItDiscardedItsHistory) {
   const Daemon daemon = Start("vm1");
   Configure(3);
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
@@ -390,7 +390,7 @@
 
 // Guards against a daemon that is missing from the registry because it mistakes
 // a lease that the restored store granted to another process for its own.
-TEST_F(OpaqueTest, ADaemonRegistersAnewOnceTheStoreWasRestored) {
+TEST_F(OpaqueTest, ADaemonRegistersAgainAfterTheStoreWasRestored) {
   Configure(3);
   store_->TakeCopy();
   const Daemon daemon = Start("vm1");
@@ -404,7 +404,7 @@
 // Keys that no leaf wrote, some of them over a leaf's entry: that leaf is not
 // used, the entries of all others stay valid, and later changes still take
 // effect.
-TEST_F(OpaqueTest, EntriesOfAnotherWriterNameNoLeafAndHoldNothingUp) {
+TEST_F(OpaqueTest, EntriesOfAnotherWriterAreIgnored) {
   const Daemon daemon = Start("vm1");
   Configure(3);
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
@@ -438,7 +438,7 @@
   }));
 }
 
-TEST_F(OpaqueTest, ALeafThatStartsAgainUnderItsIdentifierIsServedAnew) {
+TEST_F(OpaqueTest, ALeafThatRestartsUnderItsIdentifierIsUsedAgain) {
   leaves_["s1-a"]->set_started(1'000);
   Announce("s1-a", "ready");
   const std::string old_entry = leaves_["s1-a"]->MakeEntry("draining");
