--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -37,64 +37,64 @@
 constexpr int kHttpVersion = 11;
 constexpr base::Duration kStep = base::Milliseconds(10);
 constexpr base::Duration kFaultInterval = base::Milliseconds(350);
-constexpr base::Duration kLongestFault = base::Milliseconds(2'500);
+constexpr base::Duration kMaxFaultDuration = base::Milliseconds(2'500);
 // A draining leaf gets no new request later than this after the store accepted
 // its draining state, from daemons that were undisturbed for the whole time.
 constexpr base::Duration kDrainBound = base::Milliseconds(3'000);
 // A daemon counts as undisturbed this long after its last fault.
-constexpr base::Duration kCalm = base::Milliseconds(3'000);
+constexpr base::Duration kUndisturbed = base::Milliseconds(3'000);
 // A change of the routes must be in force kInForceBound after the store
 // accepted it, at daemons that have been connected to the store without a
-// disturbance for kInTouch.
+// disturbance for kConnected.
 constexpr base::Duration kInForceBound = base::Milliseconds(3'000);
-constexpr base::Duration kInTouch = base::Milliseconds(5'000);
+constexpr base::Duration kConnected = base::Milliseconds(5'000);
 // The minimum and maximum age of a backup at the restore, the longest store
 // outage before the restore, and the time within which the writers have written
 // the lost changes again.
-constexpr base::Duration kLeastCopyAge = base::Milliseconds(100);
-constexpr base::Duration kMostCopyAge = base::Milliseconds(10'000);
-constexpr base::Duration kLongestRestore = base::Milliseconds(3'000);
-constexpr base::Duration kWrittenAgain = base::Milliseconds(1'800);
+constexpr base::Duration kMinBackupAge = base::Milliseconds(100);
+constexpr base::Duration kMaxBackupAge = base::Milliseconds(10'000);
+constexpr base::Duration kMaxRestoreOutage = base::Milliseconds(3'000);
+constexpr base::Duration kRewriteTime = base::Milliseconds(1'800);
 // Operators change the routes within kChangesAfterRestore after a restore. The
-// change that the restore discards is made kKnownBeforeRestore before it, so
+// change that the restore discards is made kAppliedBeforeRestore before it, so
 // that the daemons have applied it.
 constexpr base::Duration kChangesAfterRestore = base::Milliseconds(2'500);
-constexpr base::Duration kKnownBeforeRestore = base::Milliseconds(1'500);
+constexpr base::Duration kAppliedBeforeRestore = base::Milliseconds(1'500);
 // All leaves together write at this interval, which keeps the store's revision
 // growing.
 constexpr base::Duration kHeartbeat = base::Milliseconds(50);
-// Faults hit the store and the daemons for kStormy, then neither is disturbed
-// for kQuiet, which is long enough to check the bounds that hold only without
-// disturbance.
-constexpr base::Duration kStormy = base::Milliseconds(4'000);
-constexpr base::Duration kQuiet = base::Milliseconds(10'000);
+// Faults hit the store and the daemons for kFaultPhase, then neither is
+// disturbed for kQuietPhase, which is long enough to check the bounds that hold
+// only without disturbance.
+constexpr base::Duration kFaultPhase = base::Milliseconds(4'000);
+constexpr base::Duration kQuietPhase = base::Milliseconds(10'000);
 // The maximum attempts of the route to all shards. Must match Configure().
-constexpr int kMostAttempts = 2;
+constexpr int kMaxAttempts = 2;
 // The pause between two deadly requests, of which each is retried once on
 // failure, and the time until a leaf that crashed on one is replaced.
-constexpr base::Duration kDeadlyGap = base::Milliseconds(1'500);
-constexpr base::Duration kDeadlyDown = base::Milliseconds(1'000);
-// After this many crashed leaves, and kKnownAfter without a disturbance of the
-// store or of a daemon, all daemons must have quarantined the request; at most
-// kMostTriesOnceKnown attempts may reach leaves after that.
-constexpr int kLeavesToKnow = 3;
-constexpr base::Duration kKnownAfter = base::Milliseconds(4'000);
-constexpr int kMostTriesOnceKnown = 3;
+constexpr base::Duration kDeadlyRequestInterval = base::Milliseconds(1'500);
+constexpr base::Duration kCrashedLeafDowntime = base::Milliseconds(1'000);
+// After this many crashed leaves, and kQuarantineBound without a disturbance of
+// the store or of a daemon, all daemons must have quarantined the request; at
+// most kMaxQuarantinedAttempts attempts may reach leaves after that.
+constexpr int kCrashesUntilQuarantine = 3;
+constexpr base::Duration kQuarantineBound = base::Milliseconds(4'000);
+constexpr int kMaxQuarantinedAttempts = 3;
 const std::vector<std::string> kServices = {"s1", "s2", "s3"};
 // A leaf of the first service ends, and a leaf of the second starts at its
 // address.
-constexpr const char* kServiceThatLosesALeaf = "s2";
-constexpr const char* kServiceOfTenant = "s3";
-constexpr base::Duration kReuseBegin = base::Milliseconds(4'000);
-constexpr base::Duration kAddressFree = base::Milliseconds(1'000);
+constexpr const char* kServiceOfEndedLeaf = "s2";
+constexpr const char* kServiceOfNewLeaf = "s3";
+constexpr base::Duration kAddressReuseStart = base::Milliseconds(4'000);
+constexpr base::Duration kAddressUnusedTime = base::Milliseconds(1'000);
 // The time from the end of the leaf until its store entry is removed.
-constexpr base::Duration kEntryStands = base::Milliseconds(7'000);
+constexpr base::Duration kStaleEntryTime = base::Milliseconds(7'000);
 constexpr base::Duration kWork = base::Milliseconds(2);
 constexpr base::Duration kSlowWork = base::Milliseconds(120);
 // The configured bound on sends to leaves beyond the first send of each
 // request.
-constexpr admission::ExtraSendBound kExtraSends{0.2, 50.0,
-                                                base::Milliseconds(10'000)};
+constexpr admission::ExtraSendBound kExtraSendBound{0.2, 50.0,
+                                                    base::Milliseconds(10'000)};
 
 struct Leaf {
   std::unique_ptr<HostedLeaf> leaf;
@@ -123,10 +123,10 @@
   std::shared_ptr<http1::ClientConnection> connection;
 };
 
-struct Sent {
+struct SentRequest {
   std::string id;
   bool is_idempotent = true;
-  bool is_probe = false;
+  bool is_route_check = false;
   int revision = 0;
   // The requested route must be in force.
   bool is_due = false;
@@ -134,23 +134,25 @@
 };
 
 // The last write of a key by an operator or a leaf.
-struct Written {
+struct StoreWrite {
   // Absent if the key was removed.
   std::optional<std::string> value;
   base::MonotonicTime at;
 };
 
-class World {
+class SoakRun {
  public:
-  explicit World(const SoakOptions& options);
-  ~World();
+  explicit SoakRun(const SoakOptions& options);
+  ~SoakRun();
 
   SoakReport Run();
 
  private:
   base::MonotonicTime now() const { return clock_.Now(); }
-  std::uint64_t Pick(std::uint64_t bound) { return random_.Below(bound); }
-  void Violate(const std::string& what) { report_.violations.push_back(what); }
+  std::uint64_t DrawBelow(std::uint64_t bound) { return random_.Below(bound); }
+  void AddViolation(const std::string& what) {
+    report_.violations.push_back(what);
+  }
 
   void AddLeaf(const std::string& service, const std::string& zone);
   void WriteEntry(const Leaf& leaf, const std::string& state);
@@ -161,33 +163,34 @@
 
   void Tick();
   void InjectFault();
-  bool is_stormy() const;
+  bool is_fault_phase() const;
   void FaultOnLeaf();
   void FaultOnStore();
   void FaultOnDaemon();
-  void Later(base::Duration delay, std::function<void()> task);
-  base::Duration RestoreTime(base::Duration least, base::Duration most);
-  void Beat();
+  void RunAfter(base::Duration delay, std::function<void()> task);
+  base::Duration DrawRestoreTime(base::Duration least, base::Duration most);
+  void WriteHeartbeat();
   void PlanRestore();
   void BeginRestore(int left);
   void Restore(int left);
-  void WriteAgain();
+  void RewriteLostChanges();
 
-  void TryDeadly(int tries_left);
+  void SendDeadlyRequest(int attempts_left);
   void DidEndLeaf(Leaf& leaf);
-  void CheckDeadly();
+  void CheckDeadlyRequest();
   void ReuseAddress();
-  void StartTenant(FaultProxy& proxy);
-  void EndReuse(const Leaf& leaf);
+  void StartLeafAtReusedAddress(FaultProxy& proxy);
+  void EndAddressReuse(const Leaf& leaf);
   void SetWork(const std::string& service, base::Duration work);
   // Counts every arrival at the leaf for its service.
   void CountArrivals(HostedLeaf& leaf, const std::string& service);
   void SendRequests();
-  void Send(Sent sent, const std::string& path);
-  void DidEnd(const Sent& sent, http1::ExchangeResult result);
-  void CheckAnswer(const Sent& sent, const http1::Response& response);
-  void CheckGathered(const Sent& sent, const http1::Response& response);
-  void CheckProbe(const Sent& sent, unsigned status);
+  void Send(SentRequest sent, const std::string& path);
+  void DidEnd(const SentRequest& sent, http1::ExchangeResult result);
+  void CheckAnswer(const SentRequest& sent, const http1::Response& response);
+  void CheckMergedAnswer(const SentRequest& sent,
+                         const http1::Response& response);
+  void CheckRoute(const SentRequest& sent, unsigned status);
   // Whether the newest route must be in force at the daemon by now.
   bool IsDue(const Daemon& daemon) const;
   void CheckDrains();
@@ -204,7 +207,7 @@
   FaultProxy store_proxy_{context_, store_.address()};
   std::vector<std::unique_ptr<Leaf>> leaves_;
   // Leaves at reused addresses, which no store entry names.
-  std::vector<std::unique_ptr<HostedLeaf>> tenants_;
+  std::vector<std::unique_ptr<HostedLeaf>> leaves_at_reused_addresses_;
   emulator::ArrivalRecord arrivals_;
   std::vector<Daemon> daemons_;
   int revision_ = 0;
@@ -214,17 +217,17 @@
   base::MonotonicTime end_;
   base::MonotonicTime next_fault_;
   // The last write of each key.
-  std::map<std::string, Written> written_;
+  std::map<std::string, StoreWrite> last_writes_;
   // When the store last accepted a new configuration.
-  base::MonotonicTime configured_;
-  base::MonotonicTime copied_;
+  base::MonotonicTime configured_at_;
+  base::MonotonicTime backed_up_at_;
   // Until when the store or the link to it is disturbed.
   base::MonotonicTime store_disturbed_;
   // Until when the store, the link to it or any daemon is disturbed.
   base::MonotonicTime last_disturbance_;
-  std::vector<std::string> once_;
-  std::vector<std::string> gathered_;
-  std::vector<std::string> refused_;
+  std::vector<std::string> non_idempotent_ids_;
+  std::vector<std::string> merged_ids_;
+  std::vector<std::string> refused_ids_;
   // Draws for the deadly request, separate so that the other faults of a seed
   // stay the same.
   base::Random deadly_random_;
@@ -232,13 +235,13 @@
   base::Random restore_random_;
   // When all daemons must have quarantined the deadly request; zero until
   // enough leaves have crashed.
-  base::MonotonicTime known_at_;
+  base::MonotonicTime quarantined_by_;
   // Attempts of the deadly request at undisturbed daemons after that time.
-  std::vector<std::string> tries_once_known_;
+  std::vector<std::string> quarantined_attempts_;
   SoakReport report_;
 };
 
-World::World(const SoakOptions& options)
+SoakRun::SoakRun(const SoakOptions& options)
     : options_(options),
       random_(options.seed),
       deadly_random_(options.seed),
@@ -254,12 +257,12 @@
   Configure();
 }
 
-World::~World() {
+SoakRun::~SoakRun() {
   daemons_.clear();
   std::filesystem::remove_all(folder_);
 }
 
-void World::AddLeaf(const std::string& service, const std::string& zone) {
+void SoakRun::AddLeaf(const std::string& service, const std::string& zone) {
   auto leaf = std::make_unique<Leaf>();
   leaf->service = service;
   leaf->leaf = std::make_unique<HostedLeaf>(
@@ -271,26 +274,26 @@
   leaves_.push_back(std::move(leaf));
 }
 
-void World::WriteEntry(const Leaf& leaf, const std::string& state) {
+void SoakRun::WriteEntry(const Leaf& leaf, const std::string& state) {
   Write("servers/" + leaf.leaf->id(),
         leaf.leaf->MakeEntry(state, leaf.proxy->address()));
 }
 
-void World::Write(const std::string& key, std::optional<std::string> value) {
+void SoakRun::Write(const std::string& key, std::optional<std::string> value) {
   if (value) {
     store_.Put(key, *value);
   } else {
     store_.Remove(key);
   }
-  written_[key] = {std::move(value), now()};
+  last_writes_[key] = {std::move(value), now()};
 }
 
 // Each revision has a route of its own in addition to the permanent ones: a
 // daemon that has applied a revision must never again serve the route of an
 // earlier one.
-void World::Configure() {
+void SoakRun::Configure() {
   ++revision_;
-  configured_ = now();
+  configured_at_ = now();
   const std::string own =
       R"({"name":"own","host":"h","prefix":"/v)" + std::to_string(revision_) +
       R"(/","kind":"idempotent","timeout_ms":900,"service":"s1","attempts":2})";
@@ -306,7 +309,7 @@
             R"({"name":"s3","max_conns":40}]})");
 }
 
-void World::StartDaemon(std::size_t index) {
+void SoakRun::StartDaemon(std::size_t index) {
   Daemon daemon;
   daemon.name = "vm" + std::to_string(index);
   const std::filesystem::path file = folder_ / (daemon.name + ".ini");
@@ -322,8 +325,8 @@
                       << "\nregion = r\nfailure_domain = " << domain
                       << "\nregions = n1=r, n2=r\nprocessor_share = "
                       << (is_small ? "0.1" : "1")
-                      << "\n[extra_sends]\nshare = " << kExtraSends.share
-                      << "\nslack = " << kExtraSends.slack
+                      << "\n[extra_sends]\nshare = " << kExtraSendBound.share
+                      << "\nslack = " << kExtraSendBound.slack
                       << "\n[callers]\n"
                          "interface = opaque\naddress = 127.0.0.1:0\n"
                          "readiness_address = 127.0.0.1:0\n"
@@ -341,9 +344,10 @@
     // The process has printed the reason, for example that another process has
     // bound one of the two ports meanwhile.
     const auto status = daemon.process->AwaitExit(std::chrono::seconds(1));
-    Violate(daemon.name + " did not start, exit status " +
-            (status ? std::to_string(*status) : "none") + ", ports " +
-            std::to_string(peer_port) + " and " + std::to_string(query_port));
+    AddViolation(daemon.name + " did not start, exit status " +
+                 (status ? std::to_string(*status) : "none") + ", ports " +
+                 std::to_string(peer_port) + " and " +
+                 std::to_string(query_port));
     daemon.is_gone = true;
   } else {
     daemon.caller = (*fields)["caller"];
@@ -356,7 +360,7 @@
   }
 }
 
-SoakReport World::Run() {
+SoakReport SoakRun::Run() {
   for (int index = 0; index < options_.daemons; ++index) {
     StartDaemon(static_cast<std::size_t>(index));
   }
@@ -366,63 +370,63 @@
   last_disturbance_ = now();
   Tick();
   if (options_.has_deadly_request) {
-    Later(kDeadlyGap, [this] { TryDeadly(2); });
+    RunAfter(kDeadlyRequestInterval, [this] { SendDeadlyRequest(2); });
   }
   if (options_.has_restores) {
-    Beat();
+    WriteHeartbeat();
     PlanRestore();
   }
   if (options_.has_reused_address) {
-    Later(kReuseBegin, [this] { ReuseAddress(); });
+    RunAfter(kAddressReuseStart, [this] { ReuseAddress(); });
   }
   // Requests in flight at the end may use their whole deadline.
   context_.run_for(options_.length + std::chrono::milliseconds(2'500));
   CheckRuns();
-  CheckDeadly();
-  for (const std::string& excess : arrivals_.FindExcess(kExtraSends)) {
-    Violate(excess);
+  CheckDeadlyRequest();
+  for (const std::string& excess : arrivals_.FindExcess(kExtraSendBound)) {
+    AddViolation(excess);
   }
   return report_;
 }
 
-void World::Tick() {
+void SoakRun::Tick() {
   if (now() >= end_) {
     return;
   }
   if (now() >= next_fault_) {
     InjectFault();
     next_fault_ = now() + kFaultInterval / 2 +
-                  base::Duration(static_cast<std::int64_t>(Pick(
+                  base::Duration(static_cast<std::int64_t>(DrawBelow(
                       static_cast<std::uint64_t>(kFaultInterval.count()))));
   }
   SendRequests();
   CheckDrains();
-  Later(kStep, [this] { Tick(); });
+  RunAfter(kStep, [this] { Tick(); });
 }
 
-void World::Later(base::Duration delay, std::function<void()> task) {
+void SoakRun::RunAfter(base::Duration delay, std::function<void()> task) {
   (void)runner_.After(delay, std::move(task));
 }
 
-void World::InjectFault() {
+void SoakRun::InjectFault() {
   ++report_.faults;
-  const auto kind = Pick(4);
-  if (kind < 2 && is_stormy()) {
+  const auto kind = DrawBelow(4);
+  if (kind < 2 && is_fault_phase()) {
     kind == 0 ? FaultOnStore() : FaultOnDaemon();
     return;
   }
   FaultOnLeaf();
 }
 
-bool World::is_stormy() const {
+bool SoakRun::is_fault_phase() const {
   const base::Duration since = now() - began_;
-  return since % (kStormy + kQuiet) < kStormy;
+  return since % (kFaultPhase + kQuietPhase) < kFaultPhase;
 }
 
-void World::FaultOnLeaf() {
-  Leaf& leaf = *leaves_[Pick(leaves_.size())];
-  const base::Duration length = kLongestFault / (1 + Pick(4));
-  const auto kind = Pick(5);
+void SoakRun::FaultOnLeaf() {
+  Leaf& leaf = *leaves_[DrawBelow(leaves_.size())];
+  const base::Duration length = kMaxFaultDuration / (1 + DrawBelow(4));
+  const auto kind = DrawBelow(5);
   if (leaf.is_ended) {
     return;
   }
@@ -440,126 +444,129 @@
     case 2: {
       constexpr LeafMood kMoods[] = {LeafMood::kShed, LeafMood::kMute,
                                      LeafMood::kNoProof};
-      leaf.leaf->set_mood(kMoods[Pick(3)]);
-      Later(length, [&leaf] { leaf.leaf->set_mood(LeafMood::kAnswer); });
+      leaf.leaf->set_mood(kMoods[DrawBelow(3)]);
+      RunAfter(length, [&leaf] { leaf.leaf->set_mood(LeafMood::kAnswer); });
       return;
     }
     default: {
       constexpr LinkFault kFaults[] = {LinkFault::kDelay, LinkFault::kReset,
                                        LinkFault::kOneWay, LinkFault::kSilent};
-      leaf.proxy->set_fault(kFaults[Pick(4)]);
-      Later(length, [&leaf] { leaf.proxy->set_fault(LinkFault::kNone); });
+      leaf.proxy->set_fault(kFaults[DrawBelow(4)]);
+      RunAfter(length, [&leaf] { leaf.proxy->set_fault(LinkFault::kNone); });
     }
   }
 }
 
-void World::FaultOnStore() {
-  last_disturbance_ = now() + kLongestFault;
+void SoakRun::FaultOnStore() {
+  last_disturbance_ = now() + kMaxFaultDuration;
   store_disturbed_ = std::max(store_disturbed_, last_disturbance_);
-  const base::Duration length = kLongestFault / (1 + Pick(4));
-  switch (Pick(4)) {
+  const base::Duration length = kMaxFaultDuration / (1 + DrawBelow(4));
+  switch (DrawBelow(4)) {
     case 0:
       store_.ForgetHistory();
       return;
     case 1:
       store_.set_silent(true);
-      Later(length, [this] { store_.set_silent(false); });
+      RunAfter(length, [this] { store_.set_silent(false); });
       return;
     default: {
       constexpr LinkFault kFaults[] = {LinkFault::kDelay, LinkFault::kReset,
                                        LinkFault::kOneWay, LinkFault::kSilent};
-      store_proxy_.set_fault(kFaults[Pick(4)]);
-      Later(length, [this] { store_proxy_.set_fault(LinkFault::kNone); });
+      store_proxy_.set_fault(kFaults[DrawBelow(4)]);
+      RunAfter(length, [this] { store_proxy_.set_fault(LinkFault::kNone); });
     }
   }
 }
 
-base::Duration World::RestoreTime(base::Duration least, base::Duration most) {
+base::Duration SoakRun::DrawRestoreTime(base::Duration least,
+                                        base::Duration most) {
   const auto span = static_cast<std::uint64_t>((most - least).count());
   return least +
          base::Duration(static_cast<std::int64_t>(restore_random_.Below(span)));
 }
 
-void World::Beat() {
+void SoakRun::WriteHeartbeat() {
   store_.Put("heartbeats", std::to_string(now().microseconds));
-  Later(kHeartbeat, [this] { Beat(); });
+  RunAfter(kHeartbeat, [this] { WriteHeartbeat(); });
 }
 
-void World::PlanRestore() {
+void SoakRun::PlanRestore() {
   store_.TakeCopy();
-  copied_ = now();
-  const base::Duration age = RestoreTime(kLeastCopyAge, kMostCopyAge);
+  backed_up_at_ = now();
+  const base::Duration age = DrawRestoreTime(kMinBackupAge, kMaxBackupAge);
   // A change that the daemons apply and the restore discards.
-  Later(std::max(base::Duration{}, age - kKnownBeforeRestore),
-        [this] { Configure(); });
-  Later(age, [this] { BeginRestore(restore_random_.Below(3) == 0 ? 2 : 1); });
+  RunAfter(std::max(base::Duration{}, age - kAppliedBeforeRestore),
+           [this] { Configure(); });
+  RunAfter(age,
+           [this] { BeginRestore(restore_random_.Below(3) == 0 ? 2 : 1); });
 }
 
-void World::BeginRestore(int left) {
-  const bool is_away = restore_random_.Below(4) > 0;
-  const base::Duration away =
-      is_away ? RestoreTime(kLongestRestore / 15, kLongestRestore)
-              : base::Duration{};
-  last_disturbance_ = std::max(last_disturbance_, now() + away);
-  store_disturbed_ = std::max(store_disturbed_, now() + away);
-  store_.set_silent(is_away);
-  Later(away, [this, left] { Restore(left); });
+void SoakRun::BeginRestore(int left) {
+  const bool has_outage = restore_random_.Below(4) > 0;
+  const base::Duration outage =
+      has_outage ? DrawRestoreTime(kMaxRestoreOutage / 15, kMaxRestoreOutage)
+                 : base::Duration{};
+  last_disturbance_ = std::max(last_disturbance_, now() + outage);
+  store_disturbed_ = std::max(store_disturbed_, now() + outage);
+  store_.set_silent(has_outage);
+  RunAfter(outage, [this, left] { Restore(left); });
 }
 
-void World::Restore(int left) {
+void SoakRun::Restore(int left) {
   ++report_.restores;
   store_.RestoreCopy();
   store_.set_silent(false);
-  WriteAgain();
+  RewriteLostChanges();
   for (int change = 0; change < 2; ++change) {
-    Later(RestoreTime({}, kChangesAfterRestore), [this] { Configure(); });
+    RunAfter(DrawRestoreTime({}, kChangesAfterRestore),
+             [this] { Configure(); });
   }
   if (left > 1) {
-    Later(RestoreTime({}, kLongestRestore),
-          [this, left] { BeginRestore(left - 1); });
+    RunAfter(DrawRestoreTime({}, kMaxRestoreOutage),
+             [this, left] { BeginRestore(left - 1); });
   } else {
-    Later(kInTouch + kInForceBound, [this] { PlanRestore(); });
+    RunAfter(kConnected + kInForceBound, [this] { PlanRestore(); });
   }
 }
 
-void World::WriteAgain() {
-  for (const auto& [key, written] : written_) {
-    if (written.at < copied_) {
+void SoakRun::RewriteLostChanges() {
+  for (const auto& [key, written] : last_writes_) {
+    if (written.at < backed_up_at_) {
       continue;
     }
-    const base::Duration delay = RestoreTime({}, kWrittenAgain);
+    const base::Duration delay = DrawRestoreTime({}, kRewriteTime);
     if (key == "op/config") {
-      configured_ = now() + delay;
+      configured_at_ = now() + delay;
     }
-    Later(delay, [this, key = key] { Write(key, written_[key].value); });
+    RunAfter(delay, [this, key = key] { Write(key, last_writes_[key].value); });
   }
 }
 
-bool World::IsDue(const Daemon& daemon) const {
-  return now() - configured_ > kInForceBound &&
-         now() - store_disturbed_ > kInTouch &&
-         now() - daemon.started > kInTouch &&
-         now() - daemon.disturbed > kInTouch && !daemon.is_paused &&
+bool SoakRun::IsDue(const Daemon& daemon) const {
+  return now() - configured_at_ > kInForceBound &&
+         now() - store_disturbed_ > kConnected &&
+         now() - daemon.started > kConnected &&
+         now() - daemon.disturbed > kConnected && !daemon.is_paused &&
          !daemon.is_stopping;
 }
 
-void World::FaultOnDaemon() {
-  const std::size_t index = Pick(daemons_.size());
+void SoakRun::FaultOnDaemon() {
+  const std::size_t index = DrawBelow(daemons_.size());
   Daemon& daemon = daemons_[index];
-  if (Pick(3) == 0) {
+  if (DrawBelow(3) == 0) {
     Configure();
     return;
   }
   if (daemon.is_gone || daemon.is_paused || daemon.is_stopping) {
     return;
   }
-  last_disturbance_ = now() + kLongestFault;
+  last_disturbance_ = now() + kMaxFaultDuration;
   const auto restart = [this, index] { StartDaemon(index); };
-  switch (Pick(4)) {
+  switch (DrawBelow(4)) {
     case 0:
       daemon.is_paused = true;
       daemon.process->Signal(SIGSTOP);
-      Later(kLongestFault / 2, [this, index] {
+      RunAfter(kMaxFaultDuration / 2, [this, index] {
         daemons_[index].process->Signal(SIGCONT);
         daemons_[index].is_paused = false;
         daemons_[index].disturbed = now();
@@ -568,7 +575,7 @@
     case 1:
       daemon.is_gone = true;
       daemon.process->Signal(SIGKILL);
-      Later(base::Milliseconds(400), restart);
+      RunAfter(base::Milliseconds(400), restart);
       return;
     case 2:
       daemon.process->Signal(SIGHUP);
@@ -577,19 +584,20 @@
       daemon.is_stopping = true;
       daemon.process->Signal(SIGTERM);
       // Callers keep using the connection until the process has ended.
-      Later(base::Milliseconds(6'200), restart);
+      RunAfter(base::Milliseconds(6'200), restart);
   }
 }
 
-void World::TryDeadly(int tries_left) {
+void SoakRun::SendDeadlyRequest(int attempts_left) {
   if (now() >= end_) {
     return;
   }
-  const bool is_last = tries_left == 1;
-  const auto again = [this, is_last, tries_left] {
-    Later(is_last ? kDeadlyGap : kStep, [this, is_last, tries_left] {
-      TryDeadly(is_last ? 2 : tries_left - 1);
-    });
+  const bool is_last = attempts_left == 1;
+  const auto again = [this, is_last, attempts_left] {
+    RunAfter(is_last ? kDeadlyRequestInterval : kStep,
+             [this, is_last, attempts_left] {
+               SendDeadlyRequest(is_last ? 2 : attempts_left - 1);
+             });
   };
   const Daemon& daemon = daemons_[deadly_random_.Below(daemons_.size())];
   if (daemon.is_gone || daemon.is_stopping || daemon.is_paused) {
@@ -602,10 +610,11 @@
   auto connection =
       std::make_shared<http1::ClientConnection>(context_, std::move(settings));
   const std::string id = "d" + std::to_string(next_request_++);
-  const bool is_calm = now() - last_disturbance_ > kKnownAfter &&
-                       now() - daemon.started > kKnownAfter;
-  if (is_calm && known_at_ != base::MonotonicTime{} && now() > known_at_) {
-    tries_once_known_.push_back(id);
+  const bool is_calm = now() - last_disturbance_ > kQuarantineBound &&
+                       now() - daemon.started > kQuarantineBound;
+  if (is_calm && quarantined_by_ != base::MonotonicTime{} &&
+      now() > quarantined_by_) {
+    quarantined_attempts_.push_back(id);
   }
   auto request = std::make_shared<http1::Request>(boost::beast::http::verb::get,
                                                   "/all/deadly", kHttpVersion);
@@ -619,48 +628,49 @@
                    id](const http1::ExchangeResult& result) {
     const auto* response = std::get_if<http1::Response>(&result);
     if (response != nullptr && response->result_int() == 200) {
-      Violate(id + ": a request that ends leaves was answered");
+      AddViolation(id + ": a request that crashes leaves was answered");
     }
     if (response != nullptr && response->result_int() == 503) {
-      refused_.push_back(id);
+      refused_ids_.push_back(id);
     }
     again();
   };
   connection->Start(std::move(exchange));
 }
 
-void World::DidEndLeaf(Leaf& leaf) {
+void SoakRun::DidEndLeaf(Leaf& leaf) {
   if (std::exchange(leaf.is_ended, true)) {
     return;
   }
   leaf.proxy->Close();
-  if (++report_.leaves_ended == kLeavesToKnow) {
-    known_at_ = now() + kKnownAfter;
+  if (++report_.leaves_ended == kCrashesUntilQuarantine) {
+    quarantined_by_ = now() + kQuarantineBound;
   }
-  Later(kDeadlyDown, [this, &leaf] {
+  RunAfter(kCrashedLeafDowntime, [this, &leaf] {
     Write("servers/" + leaf.leaf->id(), std::nullopt);
     AddLeaf(leaf.service, "n1");
   });
 }
 
-void World::CheckDeadly() {
+void SoakRun::CheckDeadlyRequest() {
   const auto reached =
-      std::count_if(tries_once_known_.begin(), tries_once_known_.end(),
+      std::count_if(quarantined_attempts_.begin(), quarantined_attempts_.end(),
                     [this](const std::string& id) { return RunsOf(id) > 0; });
-  if (reached > kMostTriesOnceKnown) {
-    Violate("a request under which leaves had ended reached leaves in " +
-            std::to_string(reached) + " tries more; " +
-            std::to_string(report_.leaves_ended) + " ended in all");
+  if (reached > kMaxQuarantinedAttempts) {
+    AddViolation(
+        "a request that must have been quarantined reached leaves in " +
+        std::to_string(reached) + " more attempts; " +
+        std::to_string(report_.leaves_ended) + " leaves crashed in total");
   }
 }
 
-void World::CountArrivals(HostedLeaf& leaf, const std::string& service) {
+void SoakRun::CountArrivals(HostedLeaf& leaf, const std::string& service) {
   leaf.set_did_arrive([this, service](const std::string& request_id) {
     (void)arrivals_.DidArrive(request_id, service, now());
   });
 }
 
-void World::SetWork(const std::string& service, base::Duration work) {
+void SoakRun::SetWork(const std::string& service, base::Duration work) {
   for (const auto& leaf : leaves_) {
     if (leaf->service == service) {
       leaf->leaf->set_work(work);
@@ -668,48 +678,49 @@
   }
 }
 
-void World::ReuseAddress() {
+void SoakRun::ReuseAddress() {
   const auto ended =
       std::find_if(leaves_.begin(), leaves_.end(), [](const auto& leaf) {
-        return leaf->service == kServiceThatLosesALeaf && !leaf->is_ended &&
+        return leaf->service == kServiceOfEndedLeaf && !leaf->is_ended &&
                leaf->draining_since == base::MonotonicTime{};
       });
   if (ended == leaves_.end()) {
     return;
   }
-  last_disturbance_ = now() + kEntryStands;
+  last_disturbance_ = now() + kStaleEntryTime;
   store_disturbed_ = std::max(store_disturbed_, last_disturbance_);
   store_proxy_.set_fault(LinkFault::kSilent);
-  SetWork(kServiceThatLosesALeaf, kSlowWork);
+  SetWork(kServiceOfEndedLeaf, kSlowWork);
   Leaf& leaf = **ended;
   leaf.is_ended = true;
   leaf.proxy->set_fault(LinkFault::kReset);
   leaf.leaf->End();
-  Later(kAddressFree, [this, &leaf] { StartTenant(*leaf.proxy); });
-  Later(kEntryStands, [this, &leaf] { EndReuse(leaf); });
+  RunAfter(kAddressUnusedTime,
+           [this, &leaf] { StartLeafAtReusedAddress(*leaf.proxy); });
+  RunAfter(kStaleEntryTime, [this, &leaf] { EndAddressReuse(leaf); });
 }
 
-void World::StartTenant(FaultProxy& proxy) {
+void SoakRun::StartLeafAtReusedAddress(FaultProxy& proxy) {
   auto tenant = std::make_unique<HostedLeaf>(
-      context_, "tenant-" + std::to_string(tenants_.size()), kServiceOfTenant,
-      "n1");
+      context_, "tenant-" + std::to_string(leaves_at_reused_addresses_.size()),
+      kServiceOfNewLeaf, "n1");
   tenant->set_did_arrive([this](const std::string& request_id) {
     ++report_.arrivals_at_reused_address;
-    (void)arrivals_.DidArrive(request_id, kServiceOfTenant, now());
+    (void)arrivals_.DidArrive(request_id, kServiceOfNewLeaf, now());
   });
   proxy.set_target(tenant->address());
   proxy.set_fault(LinkFault::kNone);
-  tenants_.push_back(std::move(tenant));
+  leaves_at_reused_addresses_.push_back(std::move(tenant));
 }
 
-void World::EndReuse(const Leaf& leaf) {
+void SoakRun::EndAddressReuse(const Leaf& leaf) {
   store_proxy_.set_fault(LinkFault::kNone);
-  SetWork(kServiceThatLosesALeaf, kWork);
+  SetWork(kServiceOfEndedLeaf, kWork);
   Write("servers/" + leaf.leaf->id(), std::nullopt);
   AddLeaf(leaf.service, "n1");
 }
 
-void World::SendRequests() {
+void SoakRun::SendRequests() {
   for (std::size_t index = 0; index < daemons_.size(); ++index) {
     Daemon& daemon = daemons_[index];
     const bool is_busy = daemon.connection && !daemon.connection->is_closed() &&
@@ -717,28 +728,28 @@
     if (daemon.is_gone || is_busy) {
       continue;
     }
-    Sent sent;
+    SentRequest sent;
     sent.id = "r" + std::to_string(next_request_++);
     sent.daemon = index;
-    switch (Pick(4)) {
+    switch (DrawBelow(4)) {
       case 0:
         sent.is_idempotent = false;
         Send(sent, "/pay/1");
         break;
       case 1:
-        sent.is_probe = true;
-        sent.revision = revision_ - static_cast<int>(Pick(2));
+        sent.is_route_check = true;
+        sent.revision = revision_ - static_cast<int>(DrawBelow(2));
         sent.is_due = sent.revision == revision_ && IsDue(daemon);
         Send(sent, "/v" + std::to_string(sent.revision) + "/1");
         break;
       default:
-        gathered_.push_back(sent.id);
+        merged_ids_.push_back(sent.id);
         Send(sent, "/all/1");
     }
   }
 }
 
-void World::Send(Sent sent, const std::string& path) {
+void SoakRun::Send(SentRequest sent, const std::string& path) {
   Daemon& daemon = daemons_[sent.daemon];
   if (!daemon.connection || daemon.connection->is_closed()) {
     if (daemon.is_stopping) {
@@ -753,7 +764,7 @@
   }
   ++report_.requests;
   if (!sent.is_idempotent) {
-    once_.push_back(sent.id);
+    non_idempotent_ids_.push_back(sent.id);
   }
   auto request = std::make_shared<http1::Request>(boost::beast::http::verb::get,
                                                   path, kHttpVersion);
@@ -769,7 +780,7 @@
   daemon.connection->Start(std::move(exchange));
 }
 
-void World::DidEnd(const Sent& sent, http1::ExchangeResult result) {
+void SoakRun::DidEnd(const SentRequest& sent, http1::ExchangeResult result) {
   if (const auto* response = std::get_if<http1::Response>(&result)) {
     CheckAnswer(sent, *response);
     return;
@@ -781,20 +792,21 @@
   // A request sent while the daemon closed the connection never ran, so it was
   // not cut off.
   if (is_planned && RunsOf(sent.id) > 0) {
-    Violate(sent.id + ": cut off by a planned stop of " + daemon.name);
+    AddViolation(sent.id + ": cut off by a planned stop of " + daemon.name);
   }
 }
 
-void World::CheckAnswer(const Sent& sent, const http1::Response& response) {
+void SoakRun::CheckAnswer(const SentRequest& sent,
+                          const http1::Response& response) {
   const unsigned status = response.result_int();
-  if (sent.is_probe) {
-    CheckProbe(sent, status);
+  if (sent.is_route_check) {
+    CheckRoute(sent, status);
     return;
   }
   if (status == 503 || status == 429 || status == 408 || status == 421) {
     ++report_.refused;
     if (!sent.is_idempotent) {
-      refused_.push_back(sent.id);
+      refused_ids_.push_back(sent.id);
     }
     return;
   }
@@ -803,39 +815,40 @@
     return;
   }
   if (status != 200) {
-    Violate(sent.id + ": status " + std::to_string(status));
+    AddViolation(sent.id + ": status " + std::to_string(status));
     return;
   }
   ++report_.answered;
   if (sent.is_idempotent) {
-    CheckGathered(sent, response);
+    CheckMergedAnswer(sent, response);
     return;
   }
   const std::string stamp(response["Medlarspread-Leaf-Stamp"]);
   if (stamp.find("s1-") == std::string::npos ||
       response.body() != HostedLeaf::RecordOf("s1") ||
       response["Medlarspread-Request-Id"] != sent.id) {
-    Violate(sent.id + ": not the answer of its leaf");
+    AddViolation(sent.id + ": not the reply of a leaf of its service");
   }
 }
 
-void World::CheckGathered(const Sent& sent, const http1::Response& response) {
-  const std::string proofs(response["Medlarspread-Part-Stamps"]);
+void SoakRun::CheckMergedAnswer(const SentRequest& sent,
+                                const http1::Response& response) {
+  const std::string stamps(response["Medlarspread-Part-Stamps"]);
   const std::string missing(response["Medlarspread-Missing-Parts"]);
   std::vector<std::string> records;
   for (const std::string& service : kServices) {
-    const auto first = proofs.find("stamp-" + service + "-");
+    const auto first = stamps.find("stamp-" + service + "-");
     if (first == std::string::npos) {
       continue;
     }
     records.push_back(HostedLeaf::RecordOf(service));
-    if (proofs.find("stamp-" + service + "-", first + 1) != std::string::npos) {
-      Violate(sent.id + ": two proofs of one shard: " + proofs);
+    if (stamps.find("stamp-" + service + "-", first + 1) != std::string::npos) {
+      AddViolation(sent.id + ": two stamps of one shard: " + stamps);
     }
   }
   if (records.size() + std::stoul(missing) != kServices.size() ||
       records.size() < 2) {
-    Violate(sent.id + ": " + proofs + " and " + missing + " missing");
+    AddViolation(sent.id + ": " + stamps + " and " + missing + " missing");
   }
   std::sort(records.rbegin(), records.rend());
   records.resize(std::min<std::size_t>(records.size(), 2));
@@ -844,34 +857,34 @@
     expected += record;
   }
   if (response.body() != expected) {
-    Violate(sent.id + ": not the greatest records of " + proofs);
+    AddViolation(sent.id + ": not the greatest records of " + stamps);
   }
 }
 
-void World::CheckProbe(const Sent& sent, unsigned status) {
+void SoakRun::CheckRoute(const SentRequest& sent, unsigned status) {
   Daemon& daemon = daemons_[sent.daemon];
   report_.checked_routes += sent.is_due ? 1 : 0;
   if (sent.is_due && status == 404) {
-    Violate(sent.id + ": " + daemon.name + " does not know revision " +
-            std::to_string(sent.revision) + " in time");
+    AddViolation(sent.id + ": " + daemon.name + " has not applied revision " +
+                 std::to_string(sent.revision) + " in time");
   }
-  const bool is_taken = status != 404 && status != 503;
-  if (is_taken && sent.revision < daemon.revision_seen) {
-    Violate(sent.id + ": " + daemon.name + " went back to revision " +
-            std::to_string(sent.revision) + " from " +
-            std::to_string(daemon.revision_seen));
+  const bool is_applied = status != 404 && status != 503;
+  if (is_applied && sent.revision < daemon.revision_seen) {
+    AddViolation(sent.id + ": " + daemon.name + " reverted to revision " +
+                 std::to_string(sent.revision) + " from " +
+                 std::to_string(daemon.revision_seen));
   }
-  if (is_taken) {
+  if (is_applied) {
     daemon.revision_seen = std::max(daemon.revision_seen, sent.revision);
   }
 }
 
-void World::CheckDrains() {
+void SoakRun::CheckDrains() {
   for (const auto& leaf : leaves_) {
     if (leaf->draining_since == base::MonotonicTime{}) {
       continue;
     }
-    const bool is_calm = now() - last_disturbance_ > kCalm &&
+    const bool is_calm = now() - last_disturbance_ > kUndisturbed &&
                          leaf->draining_since > last_disturbance_;
     const bool is_due = now() - leaf->draining_since > kDrainBound;
     if (!is_calm || !is_due) {
@@ -879,40 +892,41 @@
     } else if (leaf->runs_at_bound < 0) {
       leaf->runs_at_bound = leaf->leaf->runs();
     } else if (leaf->leaf->runs() > leaf->runs_at_bound) {
-      Violate(leaf->leaf->id() + ": sent to after it drained");
+      AddViolation(leaf->leaf->id() +
+                   ": got a new request after the drain bound");
       leaf->runs_at_bound = leaf->leaf->runs();
     }
   }
 }
 
-void World::CheckRuns() {
-  for (const std::string& id : once_) {
+void SoakRun::CheckRuns() {
+  for (const std::string& id : non_idempotent_ids_) {
     if (RunsOf(id) > 1) {
-      Violate(id + ": ran " + std::to_string(RunsOf(id)) + " times");
+      AddViolation(id + ": ran " + std::to_string(RunsOf(id)) + " times");
     }
   }
-  for (const std::string& id : gathered_) {
+  for (const std::string& id : merged_ids_) {
     std::map<std::string, int> leaves_of;
     for (const auto& leaf : leaves_) {
       leaves_of[leaf->service] += leaf->leaf->RunsOf(id) > 0 ? 1 : 0;
     }
     for (const auto& [service, count] : leaves_of) {
-      if (count > kMostAttempts) {
+      if (count > kMaxAttempts) {
         std::string text = id;
         text.append(": ran on ").append(std::to_string(count));
         text.append(" leaves of ").append(service);
-        Violate(text);
+        AddViolation(text);
       }
     }
   }
-  for (const std::string& id : refused_) {
+  for (const std::string& id : refused_ids_) {
     if (RunsOf(id) > 0) {
-      Violate(id + ": refused as not run, and ran");
+      AddViolation(id + ": refused as not executed, but ran");
     }
   }
 }
 
-int World::RunsOf(const std::string& id) const {
+int SoakRun::RunsOf(const std::string& id) const {
   int runs = 0;
   for (const auto& leaf : leaves_) {
     runs += leaf->leaf->RunsOf(id);
@@ -923,7 +937,7 @@
 }  // namespace
 
 SoakReport RunSoak(const SoakOptions& options) {
-  return World(options).Run();
+  return SoakRun(options).Run();
 }
 
 }  // namespace medlarspread::soak
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -28,7 +28,7 @@
 // In addition to all other faults, one request crashes every leaf that runs it.
 class DeadlyRequestSoakTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(DeadlyRequestSoakTest, ReachesFewLeavesOnceThreeHaveEnded) {
+TEST_P(DeadlyRequestSoakTest, ReachesFewLeavesAfterThreeCrashes) {
   SoakOptions options;
   options.daemon_program = DAEMON_PROGRAM;
   options.seed = GetParam();
@@ -73,7 +73,7 @@
 // restored from a backup.
 class RestoredStoreSoakTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RestoredStoreSoakTest, ChangesComeIntoForceInTimeAndNeverGoBack) {
+TEST_P(RestoredStoreSoakTest, ChangesComeIntoForceInTimeAndNeverRevert) {
   SoakOptions options;
   options.daemon_program = DAEMON_PROGRAM;
   options.seed = GetParam();
