--- a/tests/golden/session_test.cc
+++ b/tests/golden/session_test.cc
@@ -93,8 +93,8 @@
                 kDeadline);
       world.Advance(Milliseconds(10));
     }
-    world.ForgetRecord();
-    world.Note("after 150 requests the next one to a low leaf straggles");
+    world.ClearRecord();
+    world.RecordNote("after 150 requests the next one to a low leaf straggles");
     auto is_late = std::make_shared<bool>(true);
     world.script = [is_late](const std::string& leaf, int) {
       LeafScript script;
@@ -112,12 +112,13 @@
 TEST(SessionTest, VersionChangesMidQuery) {
   Check("version_changes_mid_query", [](SessionWorld& world) {
     world.Ask("vm-a", kFirstId, true, kDeadline);
-    world.Note("all leaves move to version 8; low ones still hold 7 as well");
+    world.RecordNote(
+        "all leaves move to version 8; low ones still hold 7 as well");
     for (const char* leaf : {"low-1", "low-2"}) {
-      world.Hold(leaf, {7, 8});
+      world.SetHoldings(leaf, {7, 8});
     }
     for (const char* leaf : {"high-1", "high-2"}) {
-      world.Hold(leaf, {8});
+      world.SetHoldings(leaf, {8});
     }
     world.Advance(Milliseconds(200));
   });
@@ -165,7 +166,7 @@
     };
     world.Ask("vm-a", kFirstId, false, Milliseconds(2000));
     world.Advance(Milliseconds(1000));
-    world.Note("the balancer gives the same request to another daemon");
+    world.RecordNote("the balancer gives the same request to another daemon");
     world.Ask("vm-b", kFirstId, false, Milliseconds(2000));
     world.Advance(Milliseconds(2000));
   });
@@ -185,7 +186,7 @@
     };
     world.Ask("vm-a", kFirstId, true, kDeadline);
     world.Advance(Milliseconds(100));
-    world.Note("the news is published: " + *drained + " drains");
+    world.RecordNote("the news is published: " + *drained + " drains");
     world.SetState(*drained, UpstreamState::kDraining);
     world.Ask("vm-a", kSecondId, true, kDeadline);
     world.Advance(Milliseconds(100));
@@ -197,7 +198,7 @@
     world.Change("vm-a", "change-one", 1, 80);
     world.Change("vm-b", "change-two", 1, 90);
     world.Advance(Milliseconds(3000));
-    world.Note("the loser looks again and states the revision it saw");
+    world.RecordNote("the loser looks again and states the revision it saw");
     world.Change("vm-b", "change-three", 2, 90);
     world.Advance(Milliseconds(3000));
   });
--- a/tests/golden/session_world.cc
+++ b/tests/golden/session_world.cc
@@ -121,7 +121,7 @@
   record_ += time + line + "\n";
 }
 
-void SessionWorld::Note(const std::string& text) {
+void SessionWorld::RecordNote(const std::string& text) {
   Write("# " + text);
 }
 
@@ -159,8 +159,8 @@
   scheduler_->RunReady();
 }
 
-void SessionWorld::Hold(const std::string& leaf,
-                        std::vector<std::int64_t> versions) {
+void SessionWorld::SetHoldings(const std::string& leaf,
+                               std::vector<std::int64_t> versions) {
   auto& upstream = upstreams_.upstreams.at(leaf);
   const KeyRange range = upstream.holdings.front().range;
   upstream.holdings.clear();
--- a/tests/golden/session_world.h
+++ b/tests/golden/session_world.h
@@ -56,13 +56,13 @@
   void Advance(base::Duration duration) { scheduler_->Advance(duration); }
   // Sets the snapshot versions of which the leaf holds its half of the key
   // space.
-  void Hold(const std::string& leaf, std::vector<std::int64_t> versions);
+  void SetHoldings(const std::string& leaf, std::vector<std::int64_t> versions);
   void SetState(const std::string& leaf, blackboard::UpstreamState state);
   // Clears the record after a part of the session that the test does not
   // compare.
-  void ForgetRecord() { record_.clear(); }
+  void ClearRecord() { record_.clear(); }
   // Adds a line of the test itself to the record.
-  void Note(const std::string& text);
+  void RecordNote(const std::string& text);
 
   targets::FakeStore& store() { return store_; }
   const std::string& record() const { return record_; }
