--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -701,16 +701,16 @@
 }
 
 void SoakRun::StartLeafAtReusedAddress(FaultProxy& proxy) {
-  auto tenant = std::make_unique<HostedLeaf>(
+  auto new_leaf = std::make_unique<HostedLeaf>(
       context_, "tenant-" + std::to_string(leaves_at_reused_addresses_.size()),
       kServiceOfNewLeaf, "n1");
-  tenant->set_did_arrive([this](const std::string& request_id) {
+  new_leaf->set_did_arrive([this](const std::string& request_id) {
     ++report_.arrivals_at_reused_address;
     (void)arrivals_.DidArrive(request_id, kServiceOfNewLeaf, now());
   });
-  proxy.set_target(tenant->address());
+  proxy.set_target(new_leaf->address());
   proxy.set_fault(LinkFault::kNone);
-  leaves_at_reused_addresses_.push_back(std::move(tenant));
+  leaves_at_reused_addresses_.push_back(std::move(new_leaf));
 }
 
 void SoakRun::EndAddressReuse(const Leaf& leaf) {
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -11,7 +11,7 @@
 
 class SoakTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(SoakTest, KeepsThePromises) {
+TEST_P(SoakTest, ViolatesNoGuarantee) {
   SoakOptions options;
   options.daemon_program = DAEMON_PROGRAM;
   options.seed = GetParam();
