--- a/tests/failure/answer_test.cc
+++ b/tests/failure/answer_test.cc
@@ -1,5 +1,6 @@
-// Promises on answers: one snapshot, true coverage, the whole answer to the
-// caller's own request, and refusals that are true.
+// Tests of the guarantees on answers: each answer comes from one snapshot,
+// states its true coverage and is the complete answer to the caller's own
+// request, and a request that is refused as not executed was not executed.
 
 #include <atomic>
 #include <thread>
@@ -11,7 +12,7 @@
 
 using emulator::Violation;
 
-// What became of a series of requests.
+// Counts the outcomes of a series of requests.
 struct Outcomes {
   int whole = 0;
   int partial = 0;
@@ -22,9 +23,9 @@
 
 class AnswerTest : public FailureTest {
  protected:
-  // Asks `count` times, `width` at once, over all daemons in turn, and expects
-  // every answer to keep the promises.
-  Outcomes AskMany(int count, int width, int deadline_ms) {
+  // Sends `count` requests, `width` at a time, to all daemons in turn, and
+  // expects every answer to be free of violations.
+  Outcomes SendMany(int count, int width, int deadline_ms) {
     Outcomes outcomes;
     for (int done = 0; done < count; done += width) {
       std::vector<Ask> asks;
@@ -40,7 +41,7 @@
         const auto result = replies[index].get();
         EXPECT_TRUE(result.is_ok()) << result.error().ToString();
         if (result.is_ok()) {
-          Note(asks[index], result.value(), outcomes);
+          CountOutcome(asks[index], result.value(), outcomes);
         }
       }
     }
@@ -48,9 +49,9 @@
   }
 
  private:
-  static void Note(const Ask& ask,
-                   const http::Response& response,
-                   Outcomes& outcomes) {
+  static void CountOutcome(const Ask& ask,
+                           const http::Response& response,
+                           Outcomes& outcomes) {
     EXPECT_EQ(ViolationOf(ask, response), Violation::kNone)
         << emulator::kViolations.NameOf(ViolationOf(ask, response)) << " in "
         << response.status << " " << response.body;
@@ -67,7 +68,7 @@
   }
 };
 
-// Promise: every answer comes from one snapshot. Index version and layout
+// Guarantee: every answer comes from one snapshot. Index version and layout
 // change leaf by leaf while queries run.
 TEST_F(AnswerTest, NeverMixesSnapshotsWhileVersionsChange) {
   cluster_.StartSmall(2, {"--service-ms", "20"});
@@ -88,35 +89,36 @@
     is_changing = false;
   });
   while (is_changing) {
-    AskMany(16, 16, 2000);
+    SendMany(16, 16, 2000);
   }
   changer.join();
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
-  EXPECT_GT(AskMany(16, 16, 5000).whole, 0);
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
+  EXPECT_GT(SendMany(16, 16, 5000).whole, 0);
 }
 
-// A leaf that answers from another version than was asked is not counted.
+// A reply from another index version than the requested one is not counted.
 TEST_F(AnswerTest, DropsRepliesOfAnotherVersion) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   cluster_.ControlLeaf(cluster_.leaves()[0],
                        R"({"faults":{"wrong_version":1}})");
   cluster_.ControlLeaf(cluster_.leaves()[1],
                        R"({"faults":{"wrong_version":0.5}})");
-  EXPECT_GT(AskMany(64, 8, 2000).whole, 0);
+  EXPECT_GT(SendMany(64, 8, 2000).whole, 0);
 }
 
-// Promise: coverage is stated truly, when replicas are lost ...
+// Guarantee: an answer states its true coverage when replicas are lost.
 TEST_F(AnswerTest, StatesCoverageTrulyWhenReplicasAreLost) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   cluster_.leaves()[1].process->Signal(SIGKILL);
-  AskMany(16, 8, 1000);
+  SendMany(16, 8, 1000);
   cluster_.leaves()[3].process->Signal(SIGKILL);
-  const Outcomes outcomes = AskMany(16, 8, 1000);
+  const Outcomes outcomes = SendMany(16, 8, 1000);
   EXPECT_EQ(outcomes.whole, 0) << "nobody holds the upper half any more";
   EXPECT_GT(outcomes.partial, 0);
 }
 
-// ... and when replies are empty, cut short or for another range.
+// Guarantee: an answer states its true coverage when replies are empty,
+// truncated or for another key range.
 TEST_F(AnswerTest, StatesCoverageTrulyWhenRepliesAreWrong) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   for (const std::string fault : {"empty", "truncated", "wrong_range"}) {
@@ -124,44 +126,45 @@
       cluster_.ControlLeaf(cluster_.leaves()[index],
                            R"({"faults":{")" + fault + R"(":1}})");
     }
-    const Outcomes outcomes = AskMany(16, 8, 1000);
+    const Outcomes outcomes = SendMany(16, 8, 1000);
     EXPECT_EQ(outcomes.whole, 0) << fault;
   }
   cluster_.ControlLeaves(R"({"faults":{}})");
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
 }
 
-// Promise: a caller receives its own answer only, whatever leaves send.
+// Guarantee: a caller receives only its own answer, whatever leaves send.
 TEST_F(AnswerTest, GivesEachCallerItsOwnAnswer) {
   cluster_.StartSmall(3, {"--service-ms", "2", "--slots", "4"});
   cluster_.ControlLeaves(
       R"({"late_ms":200,"faults":{"crossed":0.15,"duplicated":0.1,)"
       R"("late":0.15,"lost":0.02}})");
-  const Outcomes outcomes = AskMany(120, 24, 1500);
+  const Outcomes outcomes = SendMany(120, 24, 1500);
   EXPECT_GT(outcomes.whole, 0);
 }
 
-// Promise: what is refused as not run was not run, under overload ...
+// Guarantee: a request that is refused as not executed was not executed; here
+// under overload.
 TEST_F(AnswerTest, RefusesTrulyUnderOverload) {
   cluster_.StartSmall(2, {"--service-ms", "40"});
-  const Outcomes outcomes = AskMany(300, 150, 300);
+  const Outcomes outcomes = SendMany(300, 150, 300);
   EXPECT_GT(outcomes.refused, 0);
   for (const std::string& request_id : outcomes.refused_ids) {
-    EXPECT_EQ(cluster_.MostRunsOf(request_id), 0) << request_id;
+    EXPECT_EQ(cluster_.MaxRunsOf(request_id), 0) << request_id;
   }
 }
 
-// ... and when leaves shed or lose what they are sent.
+// The same guarantee when leaves shed requests or lose their replies.
 TEST_F(AnswerTest, RefusesTrulyWhenLeavesShed) {
   cluster_.StartSmall(2, {"--service-ms", "2"});
   cluster_.ControlLeaf(cluster_.leaves()[0], R"({"refuse":"shed"})");
   cluster_.ControlLeaf(cluster_.leaves()[1], R"({"refuse":"cold"})");
   cluster_.ControlLeaf(cluster_.leaves()[2], R"({"refuse":"shed"})");
   cluster_.ControlLeaf(cluster_.leaves()[3], R"({"faults":{"lost":1}})");
-  const Outcomes outcomes = AskMany(48, 12, 500);
+  const Outcomes outcomes = SendMany(48, 12, 500);
   EXPECT_EQ(outcomes.whole, 0);
   for (const std::string& request_id : outcomes.refused_ids) {
-    EXPECT_EQ(cluster_.MostRunsOf(request_id), 0) << request_id;
+    EXPECT_EQ(cluster_.MaxRunsOf(request_id), 0) << request_id;
   }
 }
 
--- a/tests/failure/leaving_test.cc
+++ b/tests/failure/leaving_test.cc
@@ -1,5 +1,6 @@
-// Promises on leaving: an upstream that leaves gets no new work after a few
-// seconds, and a planned stop of a daemon cuts off no request in flight.
+// Tests of the guarantees on draining and stopping: an upstream that drains
+// gets no new work after a few seconds, and a planned stop of a daemon cuts off
+// no request in flight.
 
 #include <algorithm>
 #include <chrono>
@@ -15,8 +16,8 @@
 
 class LeavingTest : public FailureTest {
  protected:
-  // Asks all daemons in turn until `length` has passed.
-  void AskFor(milliseconds length) {
+  // Sends requests to all daemons in turn until `length` has passed.
+  void SendFor(milliseconds length) {
     const auto end = steady_clock::now() + length;
     for (std::size_t number = 0; steady_clock::now() < end; ++number) {
       const auto& daemons = cluster_.daemons();
@@ -30,7 +31,8 @@
 
   // Sends requests to the daemons at `entries` and stops the one at `stopping`
   // while they run. Each request must be answered in full or refused as not
-  // run, and the daemon must say that it cut nothing off.
+  // executed, and the daemon must exit with status 0, which reports that it cut
+  // off no request.
   void StopUnderLoad(std::size_t stopping,
                      const std::vector<std::size_t>& entries) {
     constexpr std::size_t kInFlight = 30;
@@ -55,7 +57,7 @@
   }
 
  private:
-  // Requests that all leaves have started.
+  // The number of requests started, over all leaves.
   std::int64_t Started() {
     std::int64_t started = 0;
     for (const Leaf& leaf : cluster_.leaves()) {
@@ -64,12 +66,12 @@
     return started;
   }
 
-  // Whether it was answered.
+  // Returns whether the request was answered.
   bool ExpectWholeOrNotRun(const Ask& ask, const http::Response& response) {
     EXPECT_EQ(ViolationOf(ask, response), emulator::Violation::kNone);
     EXPECT_NE(response.status, http::kGatewayTimeout) << response.body;
     if (response.status != http::kOk) {
-      EXPECT_EQ(cluster_.MostRunsOf(ask.asked.request_id), 0) << response.body;
+      EXPECT_EQ(cluster_.MaxRunsOf(ask.asked.request_id), 0) << response.body;
       return false;
     }
     EXPECT_FALSE(CheckAnswer(ask.asked, response.body).is_partial)
@@ -78,22 +80,23 @@
   }
 };
 
-// The platform's list and the health page go on saying that all is well: the
-// replies alone tell.
+// The platform's list and the health page keep reporting the leaf as serving,
+// so the daemons learn that it drains from its replies only.
 TEST_F(LeavingTest, DrainingLeafGetsNoNewWorkAfterTwoSeconds) {
   cluster_.StartSmall(3, {"--service-ms", "2"});
   Leaf& leaf = cluster_.leaves()[0];
   cluster_.ControlLeaf(leaf,
                        R"({"state":"draining","refuses_when_draining":false,)"
                        R"("health_lag_ms":600000})");
-  AskFor(milliseconds(2000));
+  SendFor(milliseconds(2000));
   const auto before = cluster_.RunsOf(leaf).arrived;
-  AskFor(milliseconds(2000));
+  SendFor(milliseconds(2000));
   EXPECT_EQ(cluster_.RunsOf(leaf).arrived, before);
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
 }
 
-// Here the daemons have no work that could tell them: health alone does.
+// The daemons are idle and get no replies, so they learn that the leaf drains
+// from its health page only.
 TEST_F(LeavingTest, IdleDaemonsLearnFromHealth) {
   cluster_.StartSmall(3, {"--service-ms", "2"});
   Leaf& leaf = cluster_.leaves()[1];
@@ -101,16 +104,16 @@
                        R"({"state":"draining","refuses_when_draining":false})");
   std::this_thread::sleep_for(milliseconds(2000));
   const auto before = cluster_.RunsOf(leaf).arrived;
-  AskFor(milliseconds(1000));
+  SendFor(milliseconds(1000));
   EXPECT_EQ(cluster_.RunsOf(leaf).arrived, before);
 }
 
-// Requests are in flight on the daemon that stops, and its queues hold those of
-// the others.
+// The daemon that stops has requests in flight, and its queues hold requests of
+// the other daemons.
 TEST_F(LeavingTest, StopUnderLoadCutsNothing) {
   cluster_.StartSmall(3, {"--service-ms", "150", "--slots", "8"});
   StopUnderLoad(1, {1, 0});
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
 }
 
 TEST_F(LeavingTest, AllDaemonsStopInTurn) {
@@ -127,9 +130,10 @@
   cluster_.ControlPlatform("faults", R"({"outage":"none"})");
 }
 
-// Killed, not stopped: what was in flight may be lost, but nothing false comes,
-// and the others soon serve without it.
-TEST_F(LeavingTest, KilledDaemonIsDoneWithout) {
+// The daemon is killed without a planned stop: its requests in flight may be
+// lost, but no answer is false, and the other daemons soon answer in full
+// again.
+TEST_F(LeavingTest, OtherDaemonsServeAfterAKill) {
   cluster_.StartSmall(3, {"--service-ms", "20"});
   std::vector<Ask> asks;
   std::vector<std::future<base::Result<http::Response>>> replies;
@@ -146,12 +150,12 @@
               emulator::Violation::kNone)
         << result.value().body;
   }
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[0]));
-  EXPECT_TRUE(cluster_.AwaitWhole(cluster_.daemons()[1]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[0]));
+  EXPECT_TRUE(cluster_.AwaitFullAnswer(cluster_.daemons()[1]));
 }
 
-// New requests that meet a stopping daemon are refused as not run, or find
-// nobody listening; none is cut off.
+// New requests to a stopping daemon are refused as not executed or find no
+// listener; no connection is closed during a request.
 TEST_F(LeavingTest, StoppingDaemonRefusesNewWork) {
   cluster_.StartSmall(2, {"--service-ms", "20"});
   Daemon& leaving = cluster_.daemons()[0];
--- a/tests/failure/mixed_test.cc
+++ b/tests/failure/mixed_test.cc
@@ -1,5 +1,6 @@
-// Faults of all kinds, drawn from a printed seed, while requests of both kinds
-// run; every answer is checked, and afterwards what the leaves ran.
+// Injects faults of all kinds, drawn from a printed seed, while idempotent and
+// non-idempotent requests run. Checks every answer and, at the end, what the
+// leaves executed.
 
 #include <utility>
 
@@ -36,8 +37,8 @@
       {Fault::kFrozenDaemon, "frozen daemon"},
       {Fault::kKilledDaemon, "killed daemon"}}}};
 
-// One request and the statuses that its submissions were answered with; 0
-// stands for none.
+// One request and the HTTP statuses of its submissions; 0 means that no
+// response arrived.
 struct Submitted {
   Ask ask;
   std::vector<int> statuses;
@@ -45,11 +46,11 @@
 
 class MixedTest : public FailureTest {
  protected:
-  void Inflict(Fault fault);
-  void HealAll();
-  // Sends a batch, half of it non-idempotent and to two daemons each, and
-  // checks what comes back.
-  void AskBatch();
+  void InjectFault(Fault fault);
+  void ClearFaults();
+  // Sends a batch of requests and checks the responses. About half of the
+  // requests are non-idempotent, and each of those is sent to two daemons.
+  void SendBatch();
   void CheckRuns() const;
   void Unfreeze() {
     for (const Process* process : std::exchange(frozen_, {})) {
@@ -57,21 +58,23 @@
     }
   }
 
-  Leaf& AnyLeaf() {
+  Leaf& RandomLeaf() {
     return cluster_.leaves()[random_.Below(cluster_.leaves().size())];
   }
   // A daemon whose process was not killed.
-  Daemon& AnyDaemon() { return *live_[random_.Below(live_.size())]; }
+  Daemon& RandomDaemon() {
+    return *running_daemons_[random_.Below(running_daemons_.size())];
+  }
 
   base::Random random_{seed_};
-  std::vector<Daemon*> live_;
+  std::vector<Daemon*> running_daemons_;
   std::vector<Submitted> submitted_;
   std::vector<Process*> frozen_;
   int version_ = 1;
 };
 
-void MixedTest::Inflict(Fault fault) {
-  // A frozen leaf can't be told what to do next.
+void MixedTest::InjectFault(Fault fault) {
+  // A frozen leaf can't receive its next control call.
   Unfreeze();
   switch (fault) {
     case Fault::kWrongReplies:
@@ -81,19 +84,19 @@
           R"("duplicated":0.05,"late":0.05}})");
       break;
     case Fault::kLostReplies:
-      cluster_.ControlLeaf(AnyLeaf(), R"({"faults":{"lost":0.3}})");
+      cluster_.ControlLeaf(RandomLeaf(), R"({"faults":{"lost":0.3}})");
       break;
     case Fault::kSlowLeaf:
-      cluster_.ControlLeaf(AnyLeaf(), R"({"slow_factor":20})");
+      cluster_.ControlLeaf(RandomLeaf(), R"({"slow_factor":20})");
       break;
     case Fault::kFrozenLeaf:
-      frozen_.push_back(AnyLeaf().process);
+      frozen_.push_back(RandomLeaf().process);
       frozen_.back()->Signal(SIGSTOP);
       break;
     case Fault::kDrainingLeaf:
-      // NOTE: only one replica of each shard, because a leaf that has said
-      // that it drains is left alone for 30 s and longer, whatever it says
-      // next; both would leave the shard without any.
+      // NOTE: only one replica of each shard drains, because a leaf that has
+      // reported that it drains gets no work for 30 s or longer, whatever it
+      // reports next. With both draining the shard would have no leaf.
       cluster_.ControlLeaf(cluster_.leaves()[random_.Below(2)],
                            R"({"state":"draining"})");
       break;
@@ -104,7 +107,7 @@
         cluster_.ControlLeaf(
             leaf, R"({"holdings":")" + std::to_string(version_) +
                       ":1:" + (is_low ? "0-32768" : "32768-65536") + "\"}");
-        AskBatch();
+        SendBatch();
       }
       break;
     case Fault::kStoreOutage:
@@ -116,27 +119,28 @@
       cluster_.ControlPlatform("faults", R"({"lose_write_replies":3})");
       break;
     case Fault::kFrozenDaemon:
-      frozen_.push_back(AnyDaemon().process);
+      frozen_.push_back(RandomDaemon().process);
       frozen_.back()->Signal(SIGSTOP);
       break;
     case Fault::kKilledDaemon:
-      if (live_.size() > 2) {
-        const std::size_t index = random_.Below(live_.size());
-        live_[index]->process->Signal(SIGKILL);
-        live_.erase(live_.begin() + static_cast<std::ptrdiff_t>(index));
+      if (running_daemons_.size() > 2) {
+        const std::size_t index = random_.Below(running_daemons_.size());
+        running_daemons_[index]->process->Signal(SIGKILL);
+        running_daemons_.erase(running_daemons_.begin() +
+                               static_cast<std::ptrdiff_t>(index));
       }
       break;
   }
 }
 
-void MixedTest::HealAll() {
+void MixedTest::ClearFaults() {
   Unfreeze();
   cluster_.ControlLeaves(R"({"faults":{},"slow_factor":1,"state":"serving"})");
   cluster_.ControlPlatform("faults",
                            R"({"outage":"none","lose_write_replies":0})");
 }
 
-void MixedTest::AskBatch() {
+void MixedTest::SendBatch() {
   using Reply = std::future<base::Result<http::Response>>;
   constexpr int kBatch = 8;
   std::vector<std::vector<Reply>> replies(kBatch);
@@ -145,13 +149,14 @@
     Ask ask = cluster_.MakeAsk();
     ask.deadline_ms = 400;
     ask.is_idempotent = random_.Below(2) == 0;
-    copies.push_back(cluster_.Start(AnyDaemon(), ask));
+    copies.push_back(cluster_.Start(RandomDaemon(), ask));
     if (!ask.is_idempotent) {
-      copies.push_back(cluster_.Start(AnyDaemon(), ask));
+      copies.push_back(cluster_.Start(RandomDaemon(), ask));
     }
     submitted_.push_back({ask, {}});
   }
-  // A frozen daemon answers when it wakes, so it must not wait for its batch.
+  // A frozen daemon responds only after it continues, so the batch must not
+  // wait for it.
   Unfreeze();
   for (std::size_t index = 0; index < replies.size(); ++index) {
     Submitted& request = submitted_[first + index];
@@ -170,7 +175,7 @@
 
 void MixedTest::CheckRuns() const {
   for (const auto& [ask, statuses] : submitted_) {
-    const int runs = cluster_.MostRunsOf(ask.asked.request_id);
+    const int runs = cluster_.MaxRunsOf(ask.asked.request_id);
     const bool is_refused = std::ranges::all_of(statuses, [](int status) {
       return status == http::kServiceUnavailable ||
              status == http::kTooManyRequests;
@@ -185,33 +190,33 @@
   }
 }
 
-TEST_F(MixedTest, KeepsItsPromises) {
+TEST_F(MixedTest, ViolatesNoGuarantee) {
   cluster_.StartSmall(3, {"--service-ms", "4"});
   for (Daemon& daemon : cluster_.daemons()) {
-    live_.push_back(&daemon);
+    running_daemons_.push_back(&daemon);
   }
   constexpr int kRounds = 20;
   constexpr std::chrono::seconds kLongest(40);
   const auto end = std::chrono::steady_clock::now() + kLongest;
   for (int round = 0; round < kRounds && std::chrono::steady_clock::now() < end;
        ++round) {
-    // One fault, or two at once.
+    // Injects one fault or two at once.
     for (std::uint64_t count = 1 + random_.Below(2); count > 0; --count) {
       const Fault fault =
           kFaults.rows[random_.Below(kFaults.rows.size())].first;
       std::cout << "round " << round << ": " << kFaults.NameOf(fault)
                 << std::endl;
-      Inflict(fault);
+      InjectFault(fault);
     }
-    AskBatch();
-    AskBatch();
+    SendBatch();
+    SendBatch();
     if (random_.Below(2) == 0) {
-      HealAll();
+      ClearFaults();
     }
   }
-  HealAll();
-  for (const Daemon* daemon : live_) {
-    EXPECT_TRUE(cluster_.AwaitWhole(*daemon));
+  ClearFaults();
+  for (const Daemon* daemon : running_daemons_) {
+    EXPECT_TRUE(cluster_.AwaitFullAnswer(*daemon));
   }
   CheckRuns();
   std::map<int, int> by_status;
--- a/tests/fleet/deadly_request_test.cc
+++ b/tests/fleet/deadly_request_test.cc
@@ -1,17 +1,20 @@
-// What was seen: every few seconds all leaves of all shards ended within a
+// Guards against a request that crashes every leaf that runs it.
+//
+// The failure: every few seconds all leaves of all shards ended within a
 // second, and most requests to all shards were refused or failed until the
-// leaves were back; then it began again, three times in a minute.
+// leaves had restarted. This repeated three times in a minute.
 //
-// How it came about: one caller sent one request. Each leaf that began to run
-// it ended. Each shard was sent to its second leaf, which ended too. The caller
-// came back under a new identifier, at another daemon, which had never heard of
-// the request, and the leaves of the last failure domain ended.
+// How it came about: one caller sent one request. Each leaf that started it
+// crashed. The request was sent to a second leaf of each shard, which crashed
+// too. The caller retried under a new request identifier at another daemon,
+// which had no record of the request, and the leaves of the last failure domain
+// crashed.
 //
-// What caused it: nothing in the system knew a request again. What ended under
-// a request was booked on the leaves only.
+// The cause: nothing recognized a repeated request. A crash during a request
+// was recorded only against the leaf.
 //
-// What proved it: in virtual time one such request among ordinary ones brings
-// the same about, and nothing else ends a leaf.
+// The evidence: in virtual time one such request among ordinary ones reproduces
+// the failure, and nothing else ends a leaf.
 
 #include <cstdint>
 #include <tuple>
@@ -28,7 +31,7 @@
 
 constexpr std::uint64_t kSeeds = 2;
 
-// Comes every four seconds, six times, to all shards.
+// The request is sent to all shards six times, every four seconds.
 FleetPlan WithDeadlyRequest(FleetPlan plan) {
   plan.tells = true;
   plan.length = Milliseconds(28'000);
@@ -40,9 +43,9 @@
   return plan;
 }
 
-// Four seconds after the third leaf has ended under it, it may reach leaves in
-// three tries more, over all daemons.
-TEST(DeadlyRequestTest, ReachesFewLeavesOnceThreeHaveEnded) {
+// From four seconds after the third leaf has crashed on it, at most three more
+// attempts of the request may reach leaves, counted over all daemons.
+TEST(DeadlyRequestTest, ReachesFewLeavesAfterThreeCrashes) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (const FleetPlan& fleet : {SmallFleet(seed), LargeFleet(seed)}) {
       const FleetReport report = VirtualFleet(WithDeadlyRequest(fleet)).Run();
@@ -54,7 +57,8 @@
   }
 }
 
-// The small fleet with a class of work on a collection of nine leaves.
+// The small fleet with an additional class that is served by one collection of
+// nine leaves.
 FleetPlan WithSingle(std::uint64_t seed, bool is_idempotent) {
   FleetPlan plan = SmallFleet(seed);
   plan.tells = true;
@@ -76,9 +80,9 @@
   return plan;
 }
 
-// Plays the plan and expects that all is kept; how many tries reached leaves
-// once the request should have been known.
-int ExpectKnown(const FleetPlan& plan) {
+// Runs the plan and expects no violations. Returns how many attempts reached
+// leaves after the request should have been quarantined.
+int ExpectDetected(const FleetPlan& plan) {
   const FleetReport report = VirtualFleet(plan).Run();
   EXPECT_EQ(report.violations, std::vector<std::string>{})
       << "seed " << plan.seed;
@@ -86,36 +90,37 @@
   return report.deadly_retries;
 }
 
-TEST(DeadlyRequestTest, OfOneLeafIsKnownToo) {
+TEST(DeadlyRequestTest, ToOneShardIsDetected) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    EXPECT_EQ(ExpectKnown(WithDeadlyFetch(seed, true)), 0);
+    EXPECT_EQ(ExpectDetected(WithDeadlyFetch(seed, true)), 0);
   }
 }
 
-// Each try reaches one leaf: the third one shows it.
-TEST(DeadlyRequestTest, ThatMayRunOnceIsKnownToo) {
+// Each attempt reaches one leaf only, so the third attempt reveals the request.
+TEST(DeadlyRequestTest, ThatIsNotIdempotentIsDetected) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyFetch(seed, false);
     plan.deadly_requests.front().times = 10;
     plan.length = Milliseconds(48'000);
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
-// The store remembers it.
-TEST(DeadlyRequestTest, IsKnownAfterTheLossOfAllPower) {
+// The store keeps the quarantine entry.
+TEST(DeadlyRequestTest, IsKnownAfterAPowerLoss) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kPowerLoss, Milliseconds(11'500),
                       Milliseconds(12'500), 1.0, 1.0, ""}};
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
-// Nobody remembers it; it is found out anew. A daemon that has just started and
-// hears nothing of the store is not bound by the three tries: here all tries
-// count, and four are the most that was seen.
-TEST(DeadlyRequestTest, IsFoundOutAnewIfAllPowerGoesWithTheStoreAway) {
+// No quarantine entry survives, so the request has to be detected again. The
+// limit of three attempts does not apply to a daemon that has just started and
+// can't reach the store: here all attempts count, and four are the most that
+// was observed.
+TEST(DeadlyRequestTest, IsDetectedAgainAfterAPowerLossDuringAStoreOutage) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kStoreAway, Milliseconds(2'000),
@@ -123,52 +128,52 @@
                      {TroubleKind::kPowerLoss, Milliseconds(11'500),
                       Milliseconds(12'500), 1.0, 1.0, ""}};
     plan.most_deadly_retries = 4;
-    EXPECT_LE(ExpectKnown(plan), 4);
+    EXPECT_LE(ExpectDetected(plan), 4);
   }
 }
 
-// The daemons tell each other.
-TEST(DeadlyRequestTest, IsKnownWithTheStoreAway) {
+// The daemons inform each other.
+TEST(DeadlyRequestTest, IsDetectedDuringAStoreOutage) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kStoreAway, Milliseconds(2'000),
                       Milliseconds(40'000), 1.0, 1.0, ""}};
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
-TEST(DeadlyRequestTest, IsKnownWhereDatagramsAreLost) {
+TEST(DeadlyRequestTest, IsDetectedDespiteLostDatagrams) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.datagrams_lost = 0.3;
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
-// A third of the daemons stands still while it is found out.
-TEST(DeadlyRequestTest, IsKnownToDaemonsThatStoodStill) {
+// A third of the daemons is frozen while the request is detected.
+TEST(DeadlyRequestTest, IsKnownToDaemonsThatWereFrozen) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
     plan.troubles = {{TroubleKind::kFrozenDaemons, Milliseconds(4'900),
                       Milliseconds(8'500), 1.0, 0.33, ""}};
-    EXPECT_EQ(ExpectKnown(plan), 0);
+    EXPECT_EQ(ExpectDetected(plan), 0);
   }
 }
 
-TEST(DeadlyRequestTest, TwoAtATimeAreBothKnown) {
+TEST(DeadlyRequestTest, TwoAtATimeAreBothDetected) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyFetch(seed, true);
     DeadlyRequest sweep = plan.deadly_requests.front();
     sweep.class_name = "sweep";
     plan.deadly_requests.push_back(sweep);
-    EXPECT_LE(ExpectKnown(plan), 1);
+    EXPECT_LE(ExpectDetected(plan), 1);
     EXPECT_EQ(VirtualFleet(plan).Run().verdicts, 2) << "seed " << seed;
   }
 }
 
-// The others are served while it comes again and again: each shard keeps a
-// leaf.
-TEST(DeadlyRequestTest, TheOthersAreServed) {
+// Other requests are served while the deadly one keeps coming: each shard keeps
+// a leaf.
+TEST(DeadlyRequestTest, OtherRequestsAreServed) {
   CallerCounts counts;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     const FleetReport report =
@@ -179,8 +184,8 @@
   EXPECT_GT(counts.share_in_time(), 0.9);
 }
 
-// Leaves that end for reasons of their own: some alone, some in turn, a third
-// of all at once, all of one collection at once.
+// Leaves that crash for reasons unrelated to requests: single leaves, leaves in
+// succession, a third of all at once, and all leaves of one collection at once.
 FleetPlan WithCrashes(std::uint64_t seed) {
   FleetPlan plan = WithSingle(seed, seed % 2 == 0);
   plan.length = Milliseconds(28'000);
@@ -198,8 +203,8 @@
   return plan;
 }
 
-// Besides, all leaves of one collection are back for 50 ms at a time only,
-// three times in a row: whatever they are asked then ends with them.
+// In addition, all leaves of one collection are up for only 50 ms at a time,
+// three times in a row: whatever request they receive then crashes with them.
 FleetPlan WithCrashLoop(std::uint64_t seed) {
   FleetPlan plan = WithCrashes(seed);
   plan.length = Milliseconds(100'000);
@@ -211,9 +216,10 @@
   return plan;
 }
 
-// Whether callers always ask the same, one of twenty things, or never the same
-// twice: no request is kept from leaves that end without it.
-TEST(DeadlyRequestTest, NobodyIsConvictedOfLeavesThatEndByThemselves) {
+// Whether callers always send the same request, one of twenty, or never the
+// same twice: no request is blocked because of leaves that crash for unrelated
+// reasons.
+TEST(DeadlyRequestTest, UnrelatedCrashesQuarantineNoRequest) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     for (const int targets : {1, 20, 0}) {
       FleetPlan plan = WithCrashes(seed);
@@ -233,14 +239,14 @@
   return VirtualFleet(plan).Run();
 }
 
-// A service that can't live convicts what it is asked most, as no evidence
-// tells the two apart. That is cleared a minute later by one try that is
-// answered. Each run is a test of its own, since all of them together take
-// more than a minute.
+// A service in a crash loop gets its most frequent request quarantined, because
+// no evidence tells the two causes apart. The entry is cleared a minute later
+// by one trial that is answered. Each run is a test of its own, since all of
+// them together take more than a minute.
 class CrashLoopTest
     : public testing::TestWithParam<std::tuple<std::uint64_t, int>> {};
 
-TEST_P(CrashLoopTest, WhatItConvictedIsClearedAgain) {
+TEST_P(CrashLoopTest, QuarantineIsClearedAgain) {
   const auto [seed, targets] = GetParam();
   const FleetReport report = RunCrashLoop(seed, targets);
   EXPECT_EQ(report.standing_verdicts, 0);
@@ -252,12 +258,14 @@
                          testing::Combine(testing::Range<std::uint64_t>(1, 14),
                                           testing::Values(1, 20)));
 
-// Three of the runs above; without a conviction they would show nothing.
-TEST(DeadlyRequestTest, SomeCrashLoopsConvict) {
+// Three of the runs above. If none of them quarantined a request, CrashLoopTest
+// would prove nothing.
+TEST(DeadlyRequestTest, SomeCrashLoopsQuarantineARequest) {
   const int convicted = RunCrashLoop(9, 20).verdicts +
                         RunCrashLoop(12, 20).verdicts +
                         RunCrashLoop(13, 1).verdicts;
-  EXPECT_GT(convicted, 0) << "the load shows nothing any more";
+  EXPECT_GT(convicted, 0)
+      << "no run quarantined a request, so CrashLoopTest proves nothing";
 }
 
 }  // namespace
--- a/tests/golden/session_test.cc
+++ b/tests/golden/session_test.cc
@@ -1,7 +1,6 @@
-// Whole sessions against golden files. To record them again after a change
-// that is meant to alter them:
-//   MEDLARSPREAD_RECORD_GOLDEN=1 build/tests/golden_test
-// and read the difference in version control before committing it.
+// Compares whole sessions with golden files. After an intended change, record
+// them again with MEDLARSPREAD_RECORD_GOLDEN=1 build/tests/golden_test and
+// review the diff before committing it.
 
 #include <cstdlib>
 #include <fstream>
@@ -27,7 +26,7 @@
          name + ".txt";
 }
 
-// The first line that differs, for the failure message.
+// Returns the first line that differs, for the failure message.
 std::string FirstDifference(const std::string& golden,
                             const std::string& actual) {
   std::istringstream golden_lines(golden);
@@ -63,7 +62,7 @@
       << "\nTo record it again: MEDLARSPREAD_RECORD_GOLDEN=1 golden_test";
 }
 
-// Runs the session twice: the record must not depend on anything but the seed.
+// Runs the session twice, since the record must depend on nothing but the seed.
 void Check(const std::string& name,
            const std::function<void(SessionWorld&)>& session) {
   std::string records[2];
@@ -87,14 +86,15 @@
 
 TEST(SessionTest, SecondSendWins) {
   Check("second_send_wins", [](SessionWorld& world) {
-    // The owners learn how long replies take before the straggler comes.
+    // The queue owners learn the usual reply latency before the straggler
+    // occurs.
     for (int i = 0; i < 150; ++i) {
       world.Ask("vm-a", "1764691210000-warm" + std::to_string(1000 + i), true,
                 kDeadline);
       world.Advance(Milliseconds(10));
     }
-    world.ForgetRecord();
-    world.Note("after 150 requests the next one to a low leaf straggles");
+    world.ClearRecord();
+    world.RecordNote("after 150 requests the next one to a low leaf straggles");
     auto is_late = std::make_shared<bool>(true);
     world.script = [is_late](const std::string& leaf, int) {
       LeafScript script;
@@ -112,12 +112,13 @@
 TEST(SessionTest, VersionChangesMidQuery) {
   Check("version_changes_mid_query", [](SessionWorld& world) {
     world.Ask("vm-a", kFirstId, true, kDeadline);
-    world.Note("all leaves move to version 8; low ones still hold 7 as well");
+    world.RecordNote(
+        "all leaves move to version 8; low ones still hold 7 as well");
     for (const char* leaf : {"low-1", "low-2"}) {
-      world.Hold(leaf, {7, 8});
+      world.SetHoldings(leaf, {7, 8});
     }
     for (const char* leaf : {"high-1", "high-2"}) {
-      world.Hold(leaf, {8});
+      world.SetHoldings(leaf, {8});
     }
     world.Advance(Milliseconds(200));
   });
@@ -165,7 +166,7 @@
     };
     world.Ask("vm-a", kFirstId, false, Milliseconds(2000));
     world.Advance(Milliseconds(1000));
-    world.Note("the balancer gives the same request to another daemon");
+    world.RecordNote("the balancer gives the same request to another daemon");
     world.Ask("vm-b", kFirstId, false, Milliseconds(2000));
     world.Advance(Milliseconds(2000));
   });
@@ -185,7 +186,7 @@
     };
     world.Ask("vm-a", kFirstId, true, kDeadline);
     world.Advance(Milliseconds(100));
-    world.Note("the news is published: " + *drained + " drains");
+    world.RecordNote("the news is published: " + *drained + " drains");
     world.SetState(*drained, UpstreamState::kDraining);
     world.Ask("vm-a", kSecondId, true, kDeadline);
     world.Advance(Milliseconds(100));
@@ -197,7 +198,7 @@
     world.Change("vm-a", "change-one", 1, 80);
     world.Change("vm-b", "change-two", 1, 90);
     world.Advance(Milliseconds(3000));
-    world.Note("the loser looks again and states the revision it saw");
+    world.RecordNote("the loser looks again and states the revision it saw");
     world.Change("vm-b", "change-three", 2, 90);
     world.Advance(Milliseconds(3000));
   });
