--- a/src/burn/counts.h
+++ b/src/burn/counts.h
@@ -49,9 +49,10 @@
   std::int64_t latency_allowed_ppm = 0;
   std::int64_t coverage_allowed_ppm = 0;
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): misfires on a defaulted <=>.
+  // NOLINTBEGIN(modernize-use-nullptr): misfires on a defaulted <=>.
   friend auto operator<=>(const AppliedTargets&,
                           const AppliedTargets&) = default;
+  // NOLINTEND(modernize-use-nullptr)
 };
 
 struct CellKey {
