--- a/emulator/fleet/fleet_command.cc
+++ b/emulator/fleet/fleet_command.cc
@@ -1,4 +1,4 @@
-// Options, runs and the table of the fleet command.
+// Options, runs and the result table of the fleet command.
 
 #include "emulator/fleet/fleet_command.h"
 
@@ -20,31 +20,34 @@
 constexpr int kUsageError = 2;
 
 struct FleetOptions {
-  // Empty for all patterns.
+  // The pattern to run; empty for all patterns.
   std::string pattern;
   std::uint64_t first_seed = 1;
   int seeds = 1;
   bool by_second = false;
-  // Play plans drawn from the seeds instead of patterns.
+  // Run random plans generated from the seeds instead of patterns.
   bool is_drawn = false;
   base::Mechanism without = base::Mechanism::kNothing;
 };
 
 std::optional<FleetOptions> ParseOptions(int count, char** arguments) {
-  cxxopts::Options options("medlarspread_emulator fleet",
-                           "Plays load patterns of a fleet in virtual time.");
+  cxxopts::Options options(
+      "medlarspread_emulator fleet",
+      "Simulates load patterns of a fleet in virtual time.");
   FleetOptions parsed;
   auto add = options.add_options();
-  add("pattern", "one pattern; all without it", cxxopts::value(parsed.pattern));
+  add("pattern", "the pattern to run; default: all",
+      cxxopts::value(parsed.pattern));
   add("seed", "the first seed", cxxopts::value(parsed.first_seed));
-  add("seeds", "how many seeds", cxxopts::value(parsed.seeds));
-  add("by-second", "a row for each second", cxxopts::value(parsed.by_second));
-  add("drawn", "plans drawn from the seeds instead of patterns",
+  add("seeds", "number of seeds", cxxopts::value(parsed.seeds));
+  add("by-second", "print a row for each second",
+      cxxopts::value(parsed.by_second));
+  add("drawn", "run random plans generated from the seeds instead of patterns",
       cxxopts::value(parsed.is_drawn));
   std::string without = "nothing";
-  add("without", "a mechanism that all daemons leave out",
+  add("without", "the mechanism to disable in all daemons",
       cxxopts::value(without));
-  add("help", "this text");
+  add("help", "print this help");
   try {
     const auto result = options.parse(count, arguments);
     if (result.count("help") > 0) {
@@ -95,7 +98,7 @@
               Percentile(counts.latencies, 99.0));
 }
 
-// Plays one plan; returns the counts of its seconds of interest.
+// Runs one plan; returns the counts of its evaluated seconds.
 CallerCounts Play(const std::string& name,
                   const FleetPlan& plan,
                   int first,
--- a/emulator/fleet/fleet_command.h
+++ b/emulator/fleet/fleet_command.h
@@ -1,4 +1,4 @@
-// `medlarspread_emulator fleet`: plays load patterns in virtual time.
+// `medlarspread_emulator fleet`: simulates load patterns in virtual time.
 
 #ifndef MEDLARSPREAD_EMULATOR_FLEET_FLEET_COMMAND_H_
 #define MEDLARSPREAD_EMULATOR_FLEET_FLEET_COMMAND_H_
@@ -7,7 +7,8 @@
 
 namespace medlarspread::emulator {
 
-// Returns the exit code: 0, 1 if a run broke an invariant, 2 for bad usage.
+// Returns the exit code: 0, 1 if a run violated an invariant, 2 for a usage
+// error.
 int RunFleet(int count, char** arguments, StopSignal& stop);
 
 }  // namespace medlarspread::emulator
--- a/emulator/fleet/fleet_plan.h
+++ b/emulator/fleet/fleet_plan.h
@@ -1,4 +1,5 @@
-// What a virtual fleet consists of and what befalls it, as plain data.
+// Plain data that describes a virtual fleet: its daemons and leaves, its load
+// and the faults injected into it.
 
 #ifndef MEDLARSPREAD_EMULATOR_FLEET_FLEET_PLAN_H_
 #define MEDLARSPREAD_EMULATOR_FLEET_FLEET_PLAN_H_
@@ -18,76 +19,77 @@
 // One-way delays.
 struct LinkDelays {
   base::Duration in_domain = base::Milliseconds(0);
-  // Of one region.
+  // Between failure domains of one region.
   base::Duration between_domains = base::Duration(500);
   base::Duration between_regions = base::Milliseconds(20);
   base::Duration to_callers = base::Milliseconds(1);
 };
 
-// The leaves of one kind: each collection has one in each region.
+// Parameters of a group of leaves. Each collection has one leaf per region.
 struct LeafPlan {
   int slots = 3;
-  // Requests that wait for a slot; more are refused.
+  // Maximum number of requests waiting for a slot; the leaf refuses more.
   int queue = 18;
-  // Connections from all daemons together.
+  // Maximum number of connections from all daemons together.
   int connections = 31;
-  // Beside the way there and back.
+  // Time to open a connection, in addition to the network round trip.
   base::Duration connect_time = base::Milliseconds(6);
-  // After this time a leaf notices that the daemon at the other end of an idle
-  // connection is gone.
+  // How long a connection must be idle until a leaf detects that the daemon at
+  // the other end is gone.
   base::Duration idle_timeout = base::Milliseconds(5'000);
-  // Every leaf stands still for a moment now and then, each at its own time.
+  // Every leaf periodically pauses, with a random phase per leaf.
   base::Duration pause = base::Milliseconds(250);
   base::Duration pause_interval = base::Milliseconds(6'000);
 };
 
-// One class of work.
+// One class of requests.
 struct ClassPlan {
   std::string name;
-  // 1 for requests to one collection; otherwise the first so many collections
-  // are its shards.
+  // 1 for requests to one collection; otherwise the first `shards` collections
+  // are the shards of each request.
   int shards = 1;
-  // Where requests to one collection go; the first collection if it is empty.
+  // Target of requests to one collection; the first collection if empty.
   std::string collection;
   double coverage = 1.0;
   bool is_idempotent = true;
   int most_attempts = 3;
-  // Over all daemons.
+  // Total over all daemons.
   double requests_per_second = 100.0;
-  // At a leaf.
+  // Mean service time at a leaf.
   base::Duration mean_work = base::Milliseconds(15);
-  // Standard deviation of the logarithm of the work.
+  // Standard deviation of the logarithm of the service time.
   double work_spread = 0.35;
   base::Duration target = base::Milliseconds(200);
   base::Duration deadline = base::Milliseconds(1'200);
 };
 
 enum class TroubleKind {
-  // Leaves work `strength` times as long.
+  // Service times at leaves are multiplied by `strength`.
   kSlow,
-  // Leaves run a request and break its connection with this probability.
+  // Leaves run a request, then reset its connection with probability
+  // `strength`.
   kResets,
-  // Leaves answer nothing.
+  // Leaves accept requests and never reply.
   kDark,
-  // Leaves refuse with this probability, as if they were full.
+  // Leaves refuse requests with probability `strength`, as if they were full.
   kSheds,
-  // All daemons lose power and are back at the end; leaves keep the
-  // connections of the dead ones until they notice.
+  // All daemons lose power and restart at the end of the fault. Leaves keep the
+  // connections of the dead daemons open until they time out.
   kPowerLoss,
-  // Callers send `strength` times as many requests.
+  // The callers' request rate is multiplied by `strength`.
   kBurst,
-  // Daemons stand still: nothing reaches them or leaves them until the end.
+  // Daemons freeze: they neither receive nor send until the end of the fault.
   kFrozenDaemons,
-  // The processes of leaves end, and are back at the end of the trouble.
+  // The processes of leaves crash and restart at the end of the fault.
   kCrash,
-  // No datagram between daemons arrives.
+  // All datagrams between daemons are lost.
   kNoDatagrams,
-  // The store takes nothing and tells nothing.
+  // The store is unavailable: it fails writes and sends no updates.
   kStoreAway,
-  // Nothing that daemons answer to other daemons arrives.
+  // Replies of daemons to other daemons are lost.
   kMuteDaemons,
-  // Leaves end for good. At the end of the trouble a leaf of `tenant` starts at
-  // the address of each. No daemon is told of either.
+  // Leaves end permanently. At the end of the fault a leaf of the collection
+  // `tenant` starts at the address of each. Daemons are notified of neither.
   kAddressReused,
 };
 
@@ -111,67 +113,70 @@
   base::Duration begin{};
   base::Duration end{};
   double strength = 1.0;
-  // Of the leaves, or of the daemons; which ones is drawn from the seed.
+  // Fraction of the leaves or daemons affected, chosen at random by the seed.
   double share = 1.0;
-  // Only leaves of this collection; all if it is empty.
+  // Restricts the fault to leaves of this collection; all leaves if empty.
   std::string collection;
-  // Of kAddressReused.
+  // For kAddressReused: the collection whose leaves take over the addresses.
   std::string tenant = {};
 };
 
-// A request that ends every leaf that runs it. A caller sends it, and once more
-// if it fails, at any daemon; again and again.
+// A request that crashes every leaf that runs it. A caller sends it to any
+// daemon, retries once on failure, and repeats this `times` times.
 struct DeadlyRequest {
   std::string class_name;
   base::Duration first{};
   base::Duration gap = base::Milliseconds(4'000);
   int times = 10;
-  // From the start of a run to the end of its leaf.
+  // Time from the start of a run to the crash of its leaf.
   base::Duration crash_after = base::Milliseconds(10);
-  // How long a leaf is down.
+  // Downtime of a crashed leaf.
   base::Duration down = base::Milliseconds(2'500);
 };
 
 struct FleetPlan {
   int regions = 3;
-  // The daemons of a region are dealt out over its failure domains in turn.
+  // The daemons of a region are assigned to its failure domains round-robin.
   int domains_per_region = 1;
   int daemons_per_region = 3;
-  // Of each failure domain: the daemons on strong VMs, which fan out requests
-  // to all shards for the others. Without any, all are alike.
+  // Daemons on strong VMs per failure domain, which fan out requests to all
+  // shards for the other daemons. If 0, all daemons are equal.
   int strong_per_domain = 0;
-  // The part of a strong VM's processor that the others have.
+  // Processor capacity of the other VMs relative to a strong VM.
   double weak_share = 0.25;
   LinkDelays links;
   LeafPlan leaves;
-  // Each region's leaf of a collection takes so many times the work.
+  // Service time factors of the leaves of a collection, assigned to regions in
+  // turn.
   std::vector<double> speeds = {1.0};
-  // With a leaf in the first failure domain of each region.
+  // Number of collections; each has a leaf in the first failure domain of each
+  // region.
   int collections = 10;
-  // Set if there is one more collection, kSingleCollection, with such a leaf in
-  // every failure domain.
+  // If set, there is an additional collection, kSingleCollection, with such a
+  // leaf in every failure domain.
   std::optional<LeafPlan> single_leaves;
   std::vector<ClassPlan> classes;
   std::vector<Trouble> troubles;
   std::vector<DeadlyRequest> deadly_requests;
-  // From the third leaf that ended under a deadly request on, after this time,
-  // no more than `most_deadly_retries` tries of it may reach leaves.
+  // Starting this long after a deadly request crashed its third leaf, at most
+  // `most_deadly_retries` further attempts of it may reach leaves.
   base::Duration known_after = base::Milliseconds(4'000);
   int most_deadly_retries = 3;
-  // Whether daemons tell each other of leaves also where none is stronger than
-  // the others. (Where some are, they always do.)
+  // Whether daemons exchange leaf reports even if no daemon is on a strong VM.
+  // (If some are, daemons always exchange them.)
   bool tells = false;
-  // Of the datagrams between daemons.
+  // Fraction of the datagrams between daemons that is lost.
   double datagrams_lost = 0.01;
-  // Callers of a class ask so many different things; 0: never the same twice.
+  // Number of distinct request targets per class; 0 makes each target unique.
   int targets_per_class = 1;
   admission::ExtraSendBound extra_sends{0.2, 56.0, base::Milliseconds(10'000)};
-  // The bound that the run is checked against, if it is another one.
+  // The bound that the run is checked against, if it differs from
+  // `extra_sends`.
   std::optional<admission::ExtraSendBound> checked_extra_sends;
-  // How many times an even share of the callers the first daemon gets.
+  // Load of the first daemon as a multiple of an even share of the callers.
   double first_daemon_load = 1.0;
   base::Duration length = base::Milliseconds(24'000);
-  // Of all daemons.
+  // The mechanism that all daemons disable.
   base::Mechanism without = base::Mechanism::kNothing;
   std::uint64_t seed = 1;
 };
--- a/emulator/fleet/patterns.cc
+++ b/emulator/fleet/patterns.cc
@@ -1,6 +1,7 @@
-// The plans behind the patterns. Their deployment is of the size of a small
-// user: ten shards with a leaf in each of three regions, 150 requests a second
-// of 15 ms at each shard, which the leaves bear four times over.
+// The fleet plans of the patterns. Their base deployment has the size of a
+// small user's: ten shards with a leaf in each of three regions, and 150
+// requests per second of 15 ms at each shard, a quarter of the leaves'
+// capacity.
 
 #include "emulator/fleet/patterns.h"
 
@@ -18,8 +19,8 @@
   return SmallFleet(seed);
 }
 
-// A tenth of the leaves becomes ten times as slow: a few shards keep one leaf
-// at its speed, in another region.
+// A tenth of the leaves become ten times slower. A few shards keep only one
+// leaf at normal speed, in another region.
 FleetPlan SlowLeaves(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.troubles = {{TroubleKind::kSlow, Milliseconds(12'000),
@@ -27,8 +28,8 @@
   return plan;
 }
 
-// All leaves of one shard become ten times as slow: they can answer a third of
-// what is asked, and nobody can go elsewhere.
+// All leaves of one shard become ten times slower: they have capacity for a
+// third of the requests, and there are no other leaves for the shard.
 FleetPlan SlowShard(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.troubles = {{TroubleKind::kSlow, Milliseconds(12'000),
@@ -36,8 +37,9 @@
   return plan;
 }
 
-// Half of the leaves lose four answers in ten for some seconds: three extra
-// sends for ten requests at each shard, more than the share of the budget.
+// Half of the leaves lose 40% of their answers for some seconds: this takes
+// three extra sends for ten requests at each shard, which exceeds the extra
+// send budget.
 FleetPlan Resets(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.troubles = {{TroubleKind::kResets, Milliseconds(16'000),
@@ -45,8 +47,8 @@
   return plan;
 }
 
-// The same of requests to one collection that may run once only: what is lost
-// is lost, so the choice of the leaf decides.
+// The same for at-most-once requests to one collection: lost answers can't be
+// retried, so the result depends on the choice of the leaf.
 FleetPlan ResetsOfSingle(std::uint64_t seed) {
   FleetPlan plan;
   plan.seed = seed;
@@ -68,7 +70,7 @@
 }
 
 // All daemons lose power for a second. Leaves keep the connections of the dead
-// ones for five more, and callers come with one retry each.
+// daemons open for five more seconds, and each caller retries once.
 FleetPlan PowerLoss(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.troubles = {{TroubleKind::kPowerLoss, Milliseconds(14'000),
@@ -76,7 +78,7 @@
   return plan;
 }
 
-// One leaf of a shard is silent: its connections hang.
+// One leaf of a shard doesn't respond: its connections hang.
 FleetPlan DarkLeaf(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.troubles = {{TroubleKind::kDark, Milliseconds(12'000),
@@ -84,7 +86,7 @@
   return plan;
 }
 
-// A third of the leaves refuses half of what it is asked.
+// A third of the leaves refuse half of their requests.
 FleetPlan Sheds(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.troubles = {{TroubleKind::kSheds, Milliseconds(12'000),
@@ -92,7 +94,7 @@
   return plan;
 }
 
-// Four times the callers, and one daemon that gets five times its share.
+// Four times the load, with one daemon getting five times its even share.
 FleetPlan Burst(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.first_daemon_load = 5.0;
@@ -101,8 +103,8 @@
   return plan;
 }
 
-// The single collection alone, for what befalls its leaves: the other class
-// does not touch them.
+// Load on the single collection only, for patterns with faults at its leaves,
+// which the other class doesn't use.
 FleetPlan LargeSingle(std::uint64_t seed) {
   FleetPlan plan = LargeFleet(seed);
   plan.classes.erase(plan.classes.begin());
@@ -110,8 +112,8 @@
   return plan;
 }
 
-// Half of the single collection's leaves become eight times as slow; the other
-// half has room for three times as much.
+// Half of the single collection's leaves become eight times slower; the other
+// half has capacity for three times its load.
 FleetPlan LargeSlowSingle(std::uint64_t seed) {
   FleetPlan plan = LargeSingle(seed);
   plan.troubles = {{TroubleKind::kSlow, Milliseconds(8'000),
@@ -119,8 +121,8 @@
   return plan;
 }
 
-// Five of six leaves lose one answer in twelve of requests that may run once
-// only; the sixth could take nearly all of them.
+// Five of six leaves lose one in twelve answers to at-most-once requests; the
+// sixth has capacity for nearly all requests.
 FleetPlan LargeResetsOfSingle(std::uint64_t seed) {
   FleetPlan plan = LargeSingle(seed);
   plan.troubles = {{TroubleKind::kResets, Milliseconds(8'000),
@@ -128,7 +130,7 @@
   return plan;
 }
 
-// A fifth of the daemons stands still for three seconds, aggregators too.
+// A fifth of the daemons freeze for three seconds, including aggregators.
 FleetPlan LargeFrozenDaemons(std::uint64_t seed) {
   FleetPlan plan = LargeFleet(seed);
   plan.classes.pop_back();
@@ -138,7 +140,7 @@
   return plan;
 }
 
-// One request to all shards ends every leaf that runs it. Its caller sends it
+// A request to all shards crashes every leaf that runs it. Its caller sends it
 // every four seconds, six times.
 FleetPlan WithDeadlyRequest(FleetPlan plan) {
   plan.tells = true;
@@ -159,8 +161,7 @@
   return WithDeadlyRequest(LargeFleet(seed));
 }
 
-// A whole number from `low` to `high`, drawn so that each doubling is as likely
-// as the next.
+// Draws an integer from `low` to `high`, uniform on a logarithmic scale.
 int DrawBetween(base::Random& random, int low, int high) {
   int value = low;
   while (value < high && random.Below(3) != 0) {
@@ -194,9 +195,9 @@
   return plan;
 }
 
-// Hundreds of daemons: six failure domains in three regions with three strong
-// daemons each, 42 shards, and a single collection with a leaf in each domain,
-// of which each daemon sends one request in eight seconds.
+// 195 daemons: six failure domains in three regions with three strong daemons
+// each, 42 shards, and a single collection with a leaf in each domain, to which
+// each daemon sends one request in eight seconds.
 FleetPlan LargeFleet(std::uint64_t seed) {
   FleetPlan plan;
   plan.seed = seed;
@@ -243,31 +244,34 @@
 
 const std::vector<Pattern>& Patterns() {
   static const std::vector<Pattern> patterns = {
-      {"calm", "nothing happens", Calm, 2, 20},
-      {"slow_leaves", "a seventh of the leaves is ten times as slow",
+      {"calm", "no faults", Calm, 2, 20},
+      {"slow_leaves", "a seventh of the leaves are ten times slower",
        SlowLeaves, 12, 20},
-      {"slow_shard", "all leaves of one shard are ten times as slow", SlowShard,
+      {"slow_shard", "all leaves of one shard are ten times slower", SlowShard,
        12, 20},
-      {"resets", "half of the leaves loses four answers in ten", Resets, 16,
+      {"resets", "half of the leaves lose 40% of their answers", Resets, 16,
        20},
-      {"resets_single", "a third of the leaves resets, and nothing may repeat",
+      {"resets_single",
+       "a third of the leaves reset connections; at-most-once requests",
        ResetsOfSingle, 12, 18},
       {"power_loss", "all daemons lose power for a second", PowerLoss, 15, 21},
-      {"dark_leaf", "a tenth of the leaves is silent", DarkLeaf, 12, 18},
-      {"sheds", "a third of the leaves refuses half", Sheds, 12, 18},
-      {"burst", "four times the callers, unevenly spread", Burst, 12, 16},
-      {"large_calm", "195 daemons, and nothing happens", LargeFleet, 2, 12},
+      {"dark_leaf", "a tenth of the leaves do not respond", DarkLeaf, 12, 18},
+      {"sheds", "a third of the leaves refuse half of their requests", Sheds,
+       12, 18},
+      {"burst", "four times the load, unevenly distributed", Burst, 12, 16},
+      {"large_calm", "195 daemons, no faults", LargeFleet, 2, 12},
       {"large_slow_single",
-       "195 daemons; half of a single collection's leaves is slow",
+       "195 daemons; half of a single collection's leaves are slow",
        LargeSlowSingle, 8, 16},
       {"large_resets_single",
-       "195 daemons; five of six leaves reset, and nothing may repeat",
+       "195 daemons; five of six leaves reset; at-most-once requests",
        LargeResetsOfSingle, 8, 16},
-      {"large_frozen", "195 daemons, of which a fifth stands still",
+      {"large_frozen", "195 daemons, of which a fifth freeze",
        LargeFrozenDaemons, 8, 11},
-      {"deadly_request", "a request that ends every leaf comes again and again",
+      {"deadly_request", "repeated sends of a request that crashes leaves",
        SmallDeadlyRequest, 5, 28},
-      {"large_deadly_request", "195 daemons and such a request",
+      {"large_deadly_request",
+       "195 daemons; repeated sends of a request that crashes leaves",
        LargeDeadlyRequest, 5, 28},
   };
   return patterns;
@@ -303,12 +307,13 @@
   work.shards = DrawBetween(random, 2, 60);
   work.coverage = 0.8;
   work.mean_work = Milliseconds(DrawBetween(random, 2, 100));
-  // A caller waits for some times the work and for the way to another region.
+  // The target is a multiple of the service time plus the delay to another
+  // region.
   work.target =
       8 * work.mean_work + 3 * plan.links.between_regions + Milliseconds(20);
   work.deadline = 6 * work.target;
   plan.collections = work.shards;
-  // A quarter of what the leaves bear, and not more than a run can play.
+  // A quarter of the leaves' capacity, capped to keep the run time acceptable.
   const double capacity = plan.regions * plan.leaves.slots * 1000.0 /
                           base::ToMilliseconds(work.mean_work);
   work.requests_per_second = std::min(0.25 * capacity, 1'500.0 / work.shards);
--- a/emulator/fleet/virtual_daemon.cc
+++ b/emulator/fleet/virtual_daemon.cc
@@ -1,4 +1,4 @@
-// Links and connections of a virtual daemon.
+// Simulated links and connections of a virtual daemon.
 
 #include "emulator/fleet/virtual_daemon.h"
 
@@ -15,14 +15,14 @@
 using upstream::LeafOutcome;
 using upstream::Readiness;
 
-// As upstream::ForwardClient has them.
+// The same value as in upstream::ForwardClient.
 constexpr base::Duration kLinger = base::Milliseconds(250);
 constexpr base::Duration kBeyondDeadline = base::Milliseconds(50);
-// As daemon::OpaqueDaemon has it.
+// The same value as in daemon::OpaqueDaemon.
 constexpr double kPlannedConnections = 0.9;
 constexpr int kMostInFlight = 2000;
 
-// What another daemon is told, as platform::MakePeerCodec() has it.
+// The reply to another daemon, as platform::MakePeerCodec() makes it.
 ForwardReply MakePeerReply(query::ForwardedAnswer answer) {
   ForwardReply reply;
   reply.outcome = LeafOutcome::kFailed;
@@ -173,7 +173,7 @@
   world_.store->Unfollow(self_.name);
   world_.daemons.erase(self_.name);
   for (const auto& [name, link] : links_) {
-    // Nobody tells the leaf: it notices when the connection was idle for long.
+    // The leaf isn't notified; it closes the connection after the idle timeout.
     const auto leaf = world_.leaves.at(name);
     (void)world_.runner.After(leaf->plan().idle_timeout, [leaf, link = link] {
       for (int index = 0; index < link.open; ++index) {
@@ -305,7 +305,7 @@
               [] { return false; }};
     }
     if (!Open(upstream)) {
-      // The request has left with the last packet of the handshake.
+      // The request is sent with the last packet of the handshake.
       (void)world_.runner.After(
           connecting, [this, call] { Finish(call, LeafOutcome::kLost); });
       return {[call] { call->is_finished = true; }, [] {}, [] { return true; }};
@@ -333,7 +333,7 @@
     return;
   }
   if (call->leaf->is_down() || call->leaf->starts() != call->leaf_start) {
-    // The connection ended while the request was on its way.
+    // The connection was lost while the request was in transit.
     Deliver(DelayTo(call->leaf->upstream()),
             [this, call] { Finish(call, LeafOutcome::kLost); });
     return;
@@ -438,7 +438,7 @@
     call->timer.Cancel();
     std::exchange(call->done, nullptr)(std::move(reply));
   };
-  // Its answer is sent on the way back once both daemons are awake.
+  // The reply is sent back once neither daemon is frozen.
   const auto respond = [this, delay, finish](ForwardReply reply) {
     Deliver(delay, [finish, reply = std::move(reply)] { finish(reply); });
   };
--- a/emulator/fleet/virtual_daemon.h
+++ b/emulator/fleet/virtual_daemon.h
@@ -1,9 +1,9 @@
 // One daemon of a virtual fleet: the production code that serves opaque
 // requests, over links and leaves in virtual time.
 //
-// What stands in for upstream::ForwardClient here is the link: the way there
-// and back, the connections that this daemon may have to a leaf, and how long a
-// reply is waited for. Other daemons are reached without connections.
+// upstream::ForwardClient is replaced by a simulated link, which models the
+// network delay in each direction, the limit on connections to a leaf and the
+// reply timeout. Calls to other daemons don't use connections.
 
 #ifndef MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_DAEMON_H_
 #define MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_DAEMON_H_
@@ -27,7 +27,7 @@
 
 class VirtualDaemon;
 
-// What all daemons of a fleet share.
+// State shared by all daemons of a fleet.
 struct FleetWorld {
   const FleetPlan& plan;
   base::Clock clock;
@@ -35,19 +35,19 @@
   std::shared_ptr<base::Random> random;
   // By name.
   std::map<std::string, std::shared_ptr<VirtualLeaf>> leaves;
-  // Those that live, by name.
+  // The running daemons, by name.
   std::map<std::string, VirtualDaemon*> daemons;
-  // The work that a request takes at a leaf, drawn anew each time.
+  // Draws the service time of a request at a leaf, anew for each call.
   std::function<base::Duration(const std::string& request_id)> draw_work;
-  // Set if the request ends the leaves that run it.
+  // Returns null unless the request crashes the leaves that run it.
   std::function<const DeadlyRequest*(const std::string& request_id)> deadly;
   std::shared_ptr<VirtualStore> store;
-  // Daemons have convicted requests so often, each counted at each daemon that
-  // did not hear it from another one.
+  // How often daemons convicted a request on their own evidence, rather than
+  // on a verdict received from another daemon.
   int convictions = 0;
-  // Whether datagrams between daemons arrive now.
+  // Whether datagrams between daemons are currently delivered.
   bool has_datagrams = true;
-  // A send reached a leaf / a leaf began to work on it.
+  // Called when a send reaches a leaf, and when a leaf starts running it.
   std::function<void(const std::string& request_id, const std::string& leaf)>
       did_arrive;
   std::function<void(const std::string& request_id)> did_run;
@@ -66,12 +66,12 @@
   VirtualDaemon& operator=(const VirtualDaemon&) = delete;
 
   void Submit(query::IncomingRequest request, query::ForwardedCallback done);
-  // Power is lost: nothing leaves or arrives any more. Its sessions live on
-  // unheard until their deadlines.
+  // Simulates power loss: the daemon no longer sends or receives. Its sessions
+  // stay in memory, isolated, until their deadlines.
   void Kill();
-  // Nothing reaches it or leaves it before `end`.
+  // The daemon neither receives nor sends until `end`.
   void Freeze(base::MonotonicTime end) { frozen_until_ = end; }
-  // None of its answers to other daemons arrives before `end`.
+  // All of its replies to other daemons are lost until `end`.
   void Mute(base::MonotonicTime end) { mute_until_ = end; }
   bool is_frozen() const { return world_.clock.Now() < frozen_until_; }
 
@@ -80,32 +80,34 @@
  private:
   // The connections to one leaf.
   struct Link {
-    // All of them; the rest of `open` is in use or being opened.
+    // All connections; those that aren't free are in use or being opened.
     int open = 0;
     int free = 0;
-    // They end with the leaf's process.
+    // The start of the leaf's process that the connections belong to; they are
+    // lost when the process ends.
     int leaf_start = 1;
   };
 
-  // One request on its way.
+  // One outstanding request to a leaf.
   struct Call {
     std::shared_ptr<VirtualLeaf> leaf;
     base::MonotonicTime sent;
-    // Once its connection is open; zero if it was.
+    // When a new connection is open and the request is sent; zero if an open
+    // connection was reused.
     base::MonotonicTime leaves_at;
     upstream::ForwardPort::Callback done;
     std::uint64_t job = 0;
     bool has_reached_leaf = false;
     bool is_finished = false;
-    // The start of the leaf that its connection is to.
+    // The start of the leaf's process that the connection belongs to.
     int leaf_start = 0;
     base::Timer timer;
   };
 
-  // A request to another daemon.
+  // One outstanding request to another daemon.
   struct PeerCall {
     upstream::ForwardPort::Callback done;
-    // Gives the work up at the other daemon.
+    // Cancels the work at the other daemon.
     query::ForwardService::Abandon abandon = [] {};
     bool is_finished = false;
     base::Timer timer;
@@ -116,14 +118,15 @@
   upstream::SentCall SendToPeer(const blackboard::Upstream& peer,
                                 upstream::ForwardCall forwarded,
                                 upstream::ForwardPort::Callback done);
-  // A request that another daemon sent; `respond` is called at once or later.
+  // Handles a request from another daemon; `respond` is called during the call
+  // or later.
   query::ForwardService::Abandon TakeFromPeer(
       const upstream::ForwardCall& call,
       base::Duration time_left,
       std::function<void(upstream::ForwardReply)> respond);
   std::shared_ptr<gossip::ReportExchange> MakeReports();
   std::shared_ptr<quarantine::Quarantine> MakeQuarantine();
-  // Runs the task after the delay, and not while this daemon is frozen.
+  // Runs the task after the delay, postponed while this daemon is frozen.
   void Deliver(base::Duration delay, base::Task task);
   upstream::SentCall Send(const blackboard::Upstream& upstream,
                           upstream::ForwardCall call,
@@ -132,22 +135,23 @@
               const std::string& request_id,
               base::MonotonicTime deadline);
   void Finish(const std::shared_ptr<Call>& call, upstream::LeafOutcome outcome);
-  // The connection is closed, and the leaf hears of it.
+  // Closes the connection of the call and notifies the leaf.
   void Abort(const std::shared_ptr<Call>& call);
   void EndAfter(const std::shared_ptr<Call>& call, base::Duration delay);
   upstream::Readiness ReadinessOf(const blackboard::Upstream& upstream);
   int ConnectionShare(const blackboard::Upstream& upstream) const;
   void SendDatagram(const std::string& address, const std::string& bytes);
-  // The connections to the leaf as it is now.
+  // The connections to the current process of the leaf.
   Link& LinkTo(const std::string& leaf);
-  // The connection of a call has ended.
+  // Handles the loss of a call's connection.
   void DropConnection(const Call& call);
-  // One way, to a leaf or to another daemon.
+  // One-way network delay to a leaf or to another daemon.
   base::Duration DelayTo(const blackboard::Upstream& upstream) const;
   base::Duration DelayTo(const blackboard::Member& member) const;
   base::Duration Delay(const std::string& region,
                        const std::string& domain) const;
-  // Opens one if there is a place; false if the leaf resets it.
+  // Opens a connection if the limit allows it. Returns false if the leaf resets
+  // it.
   bool Open(const blackboard::Upstream& upstream);
 
   FleetWorld& world_;
--- a/emulator/fleet/virtual_fleet.cc
+++ b/emulator/fleet/virtual_fleet.cc
@@ -1,4 +1,4 @@
-// The steps of virtual_fleet.h.
+// Implements the steps listed in virtual_fleet.h.
 
 #include "emulator/fleet/virtual_fleet.h"
 
@@ -14,15 +14,14 @@
 
 namespace {
 
-// Callers honour a time to come back up to this part of the time they have
-// left.
+// Callers honour a retry delay of up to this fraction of their remaining time.
 constexpr int kLongestPauseShare = 3;
 constexpr std::size_t kMostViolations = 20;
-// After so many a deadly request has shown itself.
+// Number of crashes after which daemons should recognise a deadly request.
 constexpr int kCrashesToKnow = 3;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// Added to the plan's seed.
+// Offsets added to the plan's seed, one per random stream.
 constexpr std::uint64_t kArrivalsStream = 1'000'000'007;
 constexpr std::uint64_t kTroubleStream = 2'000'000'011;
 
@@ -99,7 +98,7 @@
   world_.draw_work = [this](const std::string& request_id) {
     const ClassPlan& plan =
         plan_.classes[static_cast<std::size_t>(class_of_.at(request_id))];
-    // Two uniform numbers make one that is normally distributed.
+    // Box-Muller transform: two uniform numbers give one normal deviate.
     constexpr double kTwoPi = 6.283185307179586;
     const double normal = std::sqrt(-2.0 * std::log(1.0 - random_->Unit())) *
                           std::cos(kTwoPi * random_->Unit());
@@ -151,7 +150,7 @@
 void VirtualFleet::MakeLeaves() {
   for (int collection = 0; collection < plan_.collections; ++collection) {
     for (int region = 0; region < plan_.regions; ++region) {
-      // Which region has the fast one differs from shard to shard.
+      // The region with the fast leaf differs between shards.
       const int speed = collection + region;
       AddLeaf(
           CollectionName(collection), region, 0, plan_.leaves,
@@ -207,7 +206,7 @@
       member.name = RegionName(region) + "-d" + std::to_string(index);
       member.region = RegionName(region);
       member.failure_domain = DomainName(plan_, region, domain);
-      // Only where some are stronger does anybody take requests of others.
+      // Daemons handle requests of others only if some are on strong VMs.
       member.query_address = has_strong || plan_.tells ? member.name : "";
       member.processor_share = has_strong && place >= plan_.strong_per_domain
                                    ? plan_.weak_share
@@ -242,7 +241,7 @@
   for (const ClassPlan& plan : plan_.classes) {
     longest = std::max(longest, plan.deadline);
   }
-  // Retries of the last requests end, too.
+  // Also wait until the retries of the last requests have ended.
   scheduler_->Advance(3 * longest);
   CheckExtraSends();
   CheckDeadly();
@@ -444,9 +443,10 @@
     report_.deadly_crashes += counts.crashes;
     report_.deadly_retries = std::max(report_.deadly_retries, retries);
     if (retries > plan_.most_deadly_retries) {
-      Violate("a request under which leaves had ended reached leaves in " +
-              std::to_string(retries) + " tries more; " +
-              std::to_string(counts.crashes) + " ended in all");
+      Violate(
+          "a deadly request that should have been blocked reached leaves in " +
+          std::to_string(retries) + " more attempts; " +
+          std::to_string(counts.crashes) + " leaf crashes in total");
     }
   }
 }
@@ -468,7 +468,7 @@
   VirtualDaemon* daemon = PickDaemon();
   ++errand->tries;
   if (daemon == nullptr || daemon->is_frozen()) {
-    // Nobody answers: the caller notices after a third of its time.
+    // No daemon answers; the caller times out after a third of its time.
     (void)runner_.After(left / kLongestPauseShare,
                         [this, errand] { Retry(errand, {}); });
     return;
@@ -484,7 +484,7 @@
     deadly_of_[request.request_id] = errand->deadly;
   }
   const std::string id = request.request_id;
-  // A daemon that loses power answers nothing; the caller's connection hangs.
+  // A daemon that loses power doesn't answer; the caller's connection hangs.
   (void)runner_.After(
       plan_.links.to_callers,
       [this, daemon, errand, id, request = std::move(request)]() mutable {
@@ -590,8 +590,8 @@
   report_.extra_sends += is_first ? 0 : 1;
 }
 
-// Leaves count the requests that callers sent, whether they arrived or not;
-// here every request that reached a leaf counts, which is stricter.
+// The bound is relative to the requests that callers sent, whether or not they
+// reached a leaf. This check counts only those that did, which is stricter.
 void VirtualFleet::CheckExtraSends() {
   for (const std::string& excess : arrivals_.FindExcess(
            plan_.checked_extra_sends.value_or(plan_.extra_sends))) {
--- a/emulator/fleet/virtual_fleet.h
+++ b/emulator/fleet/virtual_fleet.h
@@ -1,13 +1,14 @@
-// A fleet of daemons, its leaves and its callers in one process and in virtual
-// time: the production code decides, only its surroundings are modelled. The
-// same plan and seed give the same run.
+// Simulates a fleet of daemons, its leaves and its callers in one process and
+// in virtual time. The daemons run the production code; the network, the
+// leaves, the store and the callers are modelled. Runs are deterministic for a
+// plan and seed.
 //
 // Steps of a run:
-//   1. leaves, daemons and routes are made from the plan;
-//   2. callers send requests at random times; one that is refused comes back
-//      once, when it was told to, and one that fails comes back at once;
-//   3. troubles begin and end;
-//   4. what callers and leaves saw is counted and checked.
+//   1. Create leaves, daemons and routes from the plan.
+//   2. Callers send requests at random times. A caller retries once: after the
+//      retry delay in a refusal, or at once after a failure.
+//   3. Faults begin and end.
+//   4. Count the results at callers and leaves and check the invariants.
 
 #ifndef MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_FLEET_H_
 #define MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_FLEET_H_
@@ -25,23 +26,23 @@
 
 namespace medlarspread::emulator {
 
-// What callers of one class saw, of the requests sent within some time. A
-// caller counts from its first try.
+// Results at the callers of one class, for the requests sent in a time
+// interval. A request belongs to the interval of its first attempt.
 struct CallerCounts {
   int asked = 0;
   int in_time = 0;
   int late = 0;
   int refused = 0;
   int failed = 0;
-  // Shards left out of answers in time.
+  // Shards missing from answers that arrived in time.
   int missing = 0;
-  // Answers in time, each times the square of the share of shards that are in.
+  // Sum over the answers in time of the squared fraction of shards included.
   double credit = 0.0;
-  // Time to the answer, of those that got one.
+  // Times from the first attempt to the answer, of answered requests.
   std::vector<base::Duration> latencies;
 
   double share_in_time() const;
-  // Credit a request.
+  // Average credit per request.
   double mean_credit() const;
   CallerCounts& operator+=(const CallerCounts& other);
 };
@@ -52,22 +53,22 @@
   int sends = 0;
   int extra_sends = 0;
   int connection_resets = 0;
-  // Leaves that ended under deadly requests.
+  // Leaf crashes caused by deadly requests.
   int deadly_crashes = 0;
-  // By daemons that were not told by another one.
+  // See FleetWorld::convictions.
   int convictions = 0;
   int store_writes = 0;
-  // Different requests that the store holds a verdict on.
+  // Distinct requests with a verdict in the store.
   int verdicts = 0;
-  // Those of them that still keep a request from leaves.
+  // Verdicts that still block a request.
   int standing_verdicts = 0;
-  // Tries of deadly requests that reached leaves although they should have been
-  // known, of the one with the most.
+  // Attempts that reached leaves after FleetPlan::known_after: the maximum over
+  // all deadly requests.
   int deadly_retries = 0;
-  // What no run may show; empty if all is well.
+  // Invariant violations; empty if the run passed.
   std::vector<std::string> violations;
 
-  // Over seconds [first, last) and all classes, or one.
+  // Total over the seconds [first, last) and over all classes or class `name`.
   CallerCounts Sum(int first, int last, const std::string& name = "") const;
 };
 
@@ -79,21 +80,21 @@
   FleetReport Run();
 
  private:
-  // One caller's request over all its tries.
+  // One request of a caller, across all attempts.
   struct Errand {
     int class_index = 0;
     int second = 0;
     base::MonotonicTime began;
     int tries = 0;
     std::string target;
-    // Null for requests like any other, the only ones that are counted.
+    // Null for ordinary requests. Only those count in CallerCounts.
     const DeadlyRequest* deadly = nullptr;
   };
 
-  // What came of a deadly request.
+  // Effects of a deadly request.
   struct DeadlyCounts {
     int crashes = 0;
-    // Set at the third.
+    // Set at the third crash.
     std::optional<base::MonotonicTime> known_at;
     std::set<std::string> tries_after;
   };
@@ -109,11 +110,11 @@
   void StartDaemons();
   void ScheduleTroubles();
   void Begin(const Trouble& trouble);
-  // Daemons, not leaves, stand still or fall silent.
+  // Freeze or mute the daemons that a fault applies to.
   void Freeze(const Trouble& trouble);
   void Mute(const Trouble& trouble);
   void End(const Trouble& trouble);
-  // Draws the leaves that a trouble is about.
+  // Randomly selects the leaves that a fault applies to.
   std::vector<std::shared_ptr<VirtualLeaf>> Draw(const Trouble& trouble);
   void ScheduleCaller(int class_index);
   void ScheduleDeadly(const DeadlyRequest& deadly);
@@ -137,8 +138,8 @@
       std::make_shared<base::ManualScheduler>(time_);
   const base::Clock clock_{time_};
   const base::TaskRunner runner_{scheduler_};
-  // Streams of their own: what callers ask and what befalls which leaf is the
-  // same whatever the daemons decide, so that policies can be compared.
+  // Separate random streams, so that requests and faults are the same whatever
+  // the daemons decide and policies can be compared.
   base::Random arrivals_random_;
   base::Random trouble_random_;
   const std::shared_ptr<base::Random> random_;
@@ -146,17 +147,17 @@
   blackboard::MembershipView members_;
   blackboard::UpstreamsView leaves_;
   blackboard::RoutesView routes_;
-  // Null while a daemon has no power.
+  // Null while a daemon is without power.
   std::vector<std::unique_ptr<VirtualDaemon>> daemons_;
-  // Sessions of daemons that lost power hold on to them.
+  // Daemons that lost power; kept alive because their sessions refer to them.
   std::vector<std::unique_ptr<VirtualDaemon>> dead_;
   std::map<const Trouble*, std::vector<std::shared_ptr<VirtualLeaf>>> drawn_;
   double burst_ = 1.0;
   std::map<const DeadlyRequest*, DeadlyCounts> deadly_;
-  // By request.
+  // By request ID.
   std::map<std::string, const DeadlyRequest*> deadly_of_;
   int requests_ = 0;
-  // By request: the class, and how often leaves ran it.
+  // By request ID: the index of its class, and how often leaves ran it.
   std::map<std::string, int> class_of_;
   std::map<std::string, int> runs_;
   ArrivalRecord arrivals_;
--- a/emulator/fleet/virtual_leaf.cc
+++ b/emulator/fleet/virtual_leaf.cc
@@ -1,4 +1,4 @@
-// The slots, the queue and the pauses of a virtual leaf.
+// Slots, queue and pauses of a virtual leaf.
 
 #include "emulator/fleet/virtual_leaf.h"
 
@@ -150,7 +150,7 @@
   if (plan_.pause == base::Duration{}) {
     return clock_.Now() + work;
   }
-  // Time since the last pause began.
+  // Time since the start of the last pause.
   const auto since =
       base::Duration((clock_.Now().microseconds + pause_phase_.count()) %
                      plan_.pause_interval.count());
--- a/emulator/fleet/virtual_leaf.h
+++ b/emulator/fleet/virtual_leaf.h
@@ -1,5 +1,4 @@
-// A leaf in virtual time: slots, a queue, pauses, and whatever is wrong with
-// it.
+// Simulates a leaf in virtual time: slots, a queue, pauses and injected faults.
 
 #ifndef MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_LEAF_H_
 #define MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_LEAF_H_
@@ -22,7 +21,7 @@
 
 class VirtualLeaf : public std::enable_shared_from_this<VirtualLeaf> {
  public:
-  // What is wrong with a leaf at the moment.
+  // The faults that are currently active.
   struct Faults {
     double slowness = 1.0;
     double reset_probability = 0.0;
@@ -33,11 +32,12 @@
   struct Job {
     base::Duration work{};
     base::MonotonicTime deadline;
-    // Called once, unless the leaf is dark or the job was dropped.
+    // Called once, unless the leaf is dark or the job was cancelled.
     std::function<void(upstream::LeafOutcome)> done;
-    // Called when a slot takes the job.
+    // Called when a slot starts the job.
     std::function<void()> will_run;
-    // If set, the run ends this leaf after so long, for the time `down`.
+    // If set, the leaf crashes this long after the start of the job and stays
+    // down for `down`.
     std::optional<base::Duration> crash_after = {};
     base::Duration down{};
   };
@@ -49,28 +49,30 @@
               base::TaskRunner runner,
               std::shared_ptr<base::Random> random);
 
-  // The job's number, for Drop().
+  // Starts or queues the job. Returns its number, for Drop().
   std::uint64_t Take(Job job);
-  // The connection of the job was closed: the work on it ends.
+  // Cancels the job, because its connection was closed.
   void Drop(std::uint64_t number);
 
-  // False if all connections are taken: the new one is reset.
+  // Opens a connection. Returns false if it is reset because the leaf is at its
+  // connection limit.
   bool Connect();
-  // Of a connection to that start of the leaf.
+  // Closes a connection that was opened to process start `start`; has no effect
+  // if the process has restarted since.
   void Disconnect(int start) { connections_ -= start == starts_ ? 1 : 0; }
 
   // The process ends: connections break, work is lost, and new connections are
-  // refused until it is back.
+  // refused until the process restarts after `down`.
   void Crash(base::Duration down);
   bool is_down() const { return is_down_; }
-  // The process has ended for good, and one of another collection starts at its
-  // address. It tells whoever asks for this one that it is another.
+  // Ends the process permanently and starts a leaf of another collection at its
+  // address, which rejects requests meant for this leaf.
   void GiveAddressTo(const std::string& collection);
-  // Which collection has the address now.
+  // The collection that currently uses the address.
   const std::string& collection_at_address() const {
     return tenant_.empty() ? upstream_.collection : tenant_;
   }
-  // How often the process has started; names its present start.
+  // How often the process has started; identifies the current process.
   int starts() const { return starts_; }
 
   Faults& faults() { return faults_; }
@@ -82,7 +84,7 @@
   void StartNext();
   void Run(std::uint64_t number, Job job);
   void End(std::uint64_t number, upstream::LeafOutcome outcome);
-  // When work that starts now is done, pauses included.
+  // Completion time of work that starts now, including pauses.
   base::MonotonicTime EndOf(base::Duration work) const;
 
   const blackboard::Upstream upstream_;
@@ -91,19 +93,19 @@
   const base::Clock clock_;
   const base::TaskRunner runner_;
   const std::shared_ptr<base::Random> random_;
-  // When its pauses begin, after a multiple of the interval.
+  // Offset of the start of pauses from multiples of the pause interval.
   const base::Duration pause_phase_;
   Faults faults_;
   std::deque<std::pair<std::uint64_t, Job>> queue_;
-  // Invariant: no more than the slots.
+  // Invariant: size() <= plan_.slots.
   std::map<std::uint64_t, Job> running_;
   std::uint64_t numbers_ = 0;
   int connections_ = 0;
   int starts_ = 1;
   bool is_down_ = false;
-  // The collection that has the address now; empty while this leaf has it.
+  // The collection that took over the address; empty if none did.
   std::string tenant_;
-  // Connections beyond the cap.
+  // Connections reset because of the connection limit.
   int resets_ = 0;
 };
 
--- a/emulator/fleet/virtual_store.cc
+++ b/emulator/fleet/virtual_store.cc
@@ -1,4 +1,4 @@
-// Rows, followers, and the time that news take.
+// Entries, followers and notification delays of the virtual store.
 
 #include "emulator/fleet/virtual_store.h"
 
@@ -10,9 +10,10 @@
 
 constexpr base::Duration kCall = base::Milliseconds(5);
 constexpr base::Duration kCallTimeout = base::Milliseconds(1'000);
-// A reader rests for 0.7 s between two watches; the others hear from it.
+// The store reader waits 0.7 s between two watches; the other daemons get the
+// changes from it.
 constexpr base::Duration kNews = base::Milliseconds(900);
-// From a daemon's start until it has read everything.
+// Time from a daemon's start until it has read all entries.
 constexpr base::Duration kFirstReading = base::Milliseconds(200);
 
 }  // namespace
--- a/emulator/fleet/virtual_store.h
+++ b/emulator/fleet/virtual_store.h
@@ -1,5 +1,5 @@
-// The platform's store in virtual time, as far as daemons keep verdicts there:
-// it keeps what it was given, and its news reach those that follow it later.
+// Simulates the platform's store in virtual time, as far as needed for the
+// daemons' verdicts: it stores values and notifies followers with a delay.
 
 #ifndef MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_STORE_H_
 #define MEDLARSPREAD_EMULATOR_FLEET_VIRTUAL_STORE_H_
@@ -23,10 +23,10 @@
   void Put(const std::string& key,
            const std::string& value,
            const std::function<void(base::Status)>& done);
-  // While it is away, it takes nothing and tells nothing.
+  // While unavailable, it fails writes and sends no notifications.
   void SetAway(bool is_away);
-  // Tells the daemon of everything, now or once the store is back, and then of
-  // each change.
+  // Sends all entries to the daemon, now or once the store is available again,
+  // and then each change.
   void Follow(const std::string& daemon, DidChange did_change);
   void Unfollow(const std::string& daemon) { followers_.erase(daemon); }
 
