--- a/emulator/fleet/fleet_command.cc
+++ b/emulator/fleet/fleet_command.cc
@@ -99,12 +99,12 @@
 }
 
 // Runs one plan; returns the counts of its evaluated seconds.
-CallerCounts Play(const std::string& name,
-                  const FleetPlan& plan,
-                  int first,
-                  int last,
-                  bool by_second,
-                  bool& is_sound) {
+CallerCounts RunPlan(const std::string& name,
+                     const FleetPlan& plan,
+                     int first,
+                     int last,
+                     bool by_second,
+                     bool& has_passed) {
   const auto began = std::chrono::steady_clock::now();
   const FleetReport report = VirtualFleet(plan).Run();
   const std::chrono::duration<double> took =
@@ -129,7 +129,7 @@
   }
   for (const std::string& violation : report.violations) {
     std::printf("    VIOLATION: %s\n", violation.c_str());
-    is_sound = false;
+    has_passed = false;
   }
   return counts;
 }
@@ -141,7 +141,7 @@
   if (!options) {
     return kUsageError;
   }
-  bool is_sound = true;
+  bool has_passed = true;
   PrintHead();
   const auto last_seed =
       options->first_seed + static_cast<std::uint64_t>(options->seeds);
@@ -150,10 +150,10 @@
     for (auto seed = options->first_seed; seed < last_seed; ++seed) {
       FleetPlan plan = DrawPlan(seed);
       plan.without = options->without;
-      all += Play("drawn", plan, 2, 14, options->by_second, is_sound);
+      all += RunPlan("drawn", plan, 2, 14, options->by_second, has_passed);
     }
     PrintRow("drawn, all seeds", all);
-    return is_sound ? 0 : 1;
+    return has_passed ? 0 : 1;
   }
   for (const Pattern& pattern : Patterns()) {
     if (!options->pattern.empty() && options->pattern != pattern.name) {
@@ -163,12 +163,12 @@
     for (auto seed = options->first_seed; seed < last_seed; ++seed) {
       FleetPlan plan = pattern.make(seed);
       plan.without = options->without;
-      all += Play(std::string(pattern.name), plan, pattern.first_second,
-                  pattern.last_second, options->by_second, is_sound);
+      all += RunPlan(std::string(pattern.name), plan, pattern.first_second,
+                     pattern.last_second, options->by_second, has_passed);
     }
     PrintRow(std::string(pattern.name) + ", all seeds", all);
   }
-  return is_sound ? 0 : 1;
+  return has_passed ? 0 : 1;
 }
 
 }  // namespace medlarspread::emulator
--- a/emulator/fleet/fleet_plan.h
+++ b/emulator/fleet/fleet_plan.h
@@ -63,7 +63,7 @@
   base::Duration deadline = base::Milliseconds(1'200);
 };
 
-enum class TroubleKind {
+enum class FaultKind {
   // Service times at leaves are multiplied by `strength`.
   kSlow,
   // Leaves run a request, then reset its connection with probability
@@ -85,7 +85,7 @@
   // All datagrams between daemons are lost.
   kNoDatagrams,
   // The store is unavailable: it fails writes and sends no updates.
-  kStoreAway,
+  kStoreUnavailable,
   // Replies of daemons to other daemons are lost.
   kMuteDaemons,
   // Leaves end permanently. At the end of the fault a leaf of the collection
@@ -93,23 +93,23 @@
   kAddressReused,
 };
 
-inline constexpr base::NameTable<TroubleKind, 12> kTroubleKindNames{{{
-    {TroubleKind::kSlow, "slow"},
-    {TroubleKind::kResets, "resets"},
-    {TroubleKind::kDark, "dark"},
-    {TroubleKind::kSheds, "sheds"},
-    {TroubleKind::kPowerLoss, "power_loss"},
-    {TroubleKind::kBurst, "burst"},
-    {TroubleKind::kFrozenDaemons, "frozen_daemons"},
-    {TroubleKind::kCrash, "crash"},
-    {TroubleKind::kNoDatagrams, "no_datagrams"},
-    {TroubleKind::kStoreAway, "store_away"},
-    {TroubleKind::kMuteDaemons, "mute_daemons"},
-    {TroubleKind::kAddressReused, "address_reused"},
+inline constexpr base::NameTable<FaultKind, 12> kFaultKindNames{{{
+    {FaultKind::kSlow, "slow"},
+    {FaultKind::kResets, "resets"},
+    {FaultKind::kDark, "dark"},
+    {FaultKind::kSheds, "sheds"},
+    {FaultKind::kPowerLoss, "power_loss"},
+    {FaultKind::kBurst, "burst"},
+    {FaultKind::kFrozenDaemons, "frozen_daemons"},
+    {FaultKind::kCrash, "crash"},
+    {FaultKind::kNoDatagrams, "no_datagrams"},
+    {FaultKind::kStoreUnavailable, "store_away"},
+    {FaultKind::kMuteDaemons, "mute_daemons"},
+    {FaultKind::kAddressReused, "address_reused"},
 }}};
 
-struct Trouble {
-  TroubleKind kind = TroubleKind::kSlow;
+struct Fault {
+  FaultKind kind = FaultKind::kSlow;
   base::Duration begin{};
   base::Duration end{};
   double strength = 1.0;
@@ -156,12 +156,12 @@
   // leaf in every failure domain.
   std::optional<LeafPlan> single_leaves;
   std::vector<ClassPlan> classes;
-  std::vector<Trouble> troubles;
+  std::vector<Fault> faults;
   std::vector<DeadlyRequest> deadly_requests;
   // Starting this long after a deadly request crashed its third leaf, at most
-  // `most_deadly_retries` further attempts of it may reach leaves.
+  // `max_deadly_retries` further attempts of it may reach leaves.
   base::Duration known_after = base::Milliseconds(4'000);
-  int most_deadly_retries = 3;
+  int max_deadly_retries = 3;
   // Whether daemons exchange leaf reports even if no daemon is on a strong VM.
   // (If some are, daemons always exchange them.)
   bool tells = false;
--- a/emulator/fleet/patterns.cc
+++ b/emulator/fleet/patterns.cc
@@ -23,8 +23,8 @@
 // leaf at normal speed, in another region.
 FleetPlan SlowLeaves(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
-  plan.troubles = {{TroubleKind::kSlow, Milliseconds(12'000),
-                    Milliseconds(20'000), 10.0, 0.15, ""}};
+  plan.faults = {{FaultKind::kSlow, Milliseconds(12'000), Milliseconds(20'000),
+                  10.0, 0.15, ""}};
   return plan;
 }
 
@@ -32,8 +32,8 @@
 // third of the requests, and there are no other leaves for the shard.
 FleetPlan SlowShard(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
-  plan.troubles = {{TroubleKind::kSlow, Milliseconds(12'000),
-                    Milliseconds(20'000), 10.0, 1.0, CollectionName(0)}};
+  plan.faults = {{FaultKind::kSlow, Milliseconds(12'000), Milliseconds(20'000),
+                  10.0, 1.0, CollectionName(0)}};
   return plan;
 }
 
@@ -42,8 +42,8 @@
 // send budget.
 FleetPlan Resets(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
-  plan.troubles = {{TroubleKind::kResets, Milliseconds(16'000),
-                    Milliseconds(20'000), 0.4, 0.5, ""}};
+  plan.faults = {{FaultKind::kResets, Milliseconds(16'000),
+                  Milliseconds(20'000), 0.4, 0.5, ""}};
   return plan;
 }
 
@@ -64,8 +64,8 @@
   fetch.target = Milliseconds(600);
   fetch.deadline = Milliseconds(3'000);
   plan.classes = {fetch};
-  plan.troubles = {{TroubleKind::kResets, Milliseconds(12'000),
-                    Milliseconds(18'000), 0.4, 0.34, ""}};
+  plan.faults = {{FaultKind::kResets, Milliseconds(12'000),
+                  Milliseconds(18'000), 0.4, 0.34, ""}};
   return plan;
 }
 
@@ -73,24 +73,24 @@
 // daemons open for five more seconds, and each caller retries once.
 FleetPlan PowerLoss(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
-  plan.troubles = {{TroubleKind::kPowerLoss, Milliseconds(14'000),
-                    Milliseconds(15'000), 1.0, 1.0, ""}};
+  plan.faults = {{FaultKind::kPowerLoss, Milliseconds(14'000),
+                  Milliseconds(15'000), 1.0, 1.0, ""}};
   return plan;
 }
 
 // One leaf of a shard doesn't respond: its connections hang.
 FleetPlan DarkLeaf(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
-  plan.troubles = {{TroubleKind::kDark, Milliseconds(12'000),
-                    Milliseconds(18'000), 1.0, 0.1, ""}};
+  plan.faults = {{FaultKind::kDark, Milliseconds(12'000), Milliseconds(18'000),
+                  1.0, 0.1, ""}};
   return plan;
 }
 
 // A third of the leaves refuse half of their requests.
 FleetPlan Sheds(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
-  plan.troubles = {{TroubleKind::kSheds, Milliseconds(12'000),
-                    Milliseconds(18'000), 0.5, 0.34, ""}};
+  plan.faults = {{FaultKind::kSheds, Milliseconds(12'000), Milliseconds(18'000),
+                  0.5, 0.34, ""}};
   return plan;
 }
 
@@ -98,8 +98,8 @@
 FleetPlan Burst(std::uint64_t seed) {
   FleetPlan plan = SmallFleet(seed);
   plan.first_daemon_load = 5.0;
-  plan.troubles = {{TroubleKind::kBurst, Milliseconds(12'000),
-                    Milliseconds(16'000), 4.0, 1.0, ""}};
+  plan.faults = {{FaultKind::kBurst, Milliseconds(12'000), Milliseconds(16'000),
+                  4.0, 1.0, ""}};
   return plan;
 }
 
@@ -116,8 +116,8 @@
 // half has capacity for three times its load.
 FleetPlan LargeSlowSingle(std::uint64_t seed) {
   FleetPlan plan = LargeSingle(seed);
-  plan.troubles = {{TroubleKind::kSlow, Milliseconds(8'000),
-                    Milliseconds(16'000), 8.0, 0.5, kSingleCollection}};
+  plan.faults = {{FaultKind::kSlow, Milliseconds(8'000), Milliseconds(16'000),
+                  8.0, 0.5, kSingleCollection}};
   return plan;
 }
 
@@ -125,8 +125,8 @@
 // sixth has capacity for nearly all requests.
 FleetPlan LargeResetsOfSingle(std::uint64_t seed) {
   FleetPlan plan = LargeSingle(seed);
-  plan.troubles = {{TroubleKind::kResets, Milliseconds(8'000),
-                    Milliseconds(16'000), 0.08, 0.83, kSingleCollection}};
+  plan.faults = {{FaultKind::kResets, Milliseconds(8'000), Milliseconds(16'000),
+                  0.08, 0.83, kSingleCollection}};
   return plan;
 }
 
@@ -134,8 +134,8 @@
 FleetPlan LargeFrozenDaemons(std::uint64_t seed) {
   FleetPlan plan = LargeFleet(seed);
   plan.classes.pop_back();
-  plan.troubles = {{TroubleKind::kFrozenDaemons, Milliseconds(8'000),
-                    Milliseconds(11'000), 1.0, 0.2, ""}};
+  plan.faults = {{FaultKind::kFrozenDaemons, Milliseconds(8'000),
+                  Milliseconds(11'000), 1.0, 0.2, ""}};
   plan.length = Milliseconds(14'000);
   return plan;
 }
@@ -319,14 +319,13 @@
   work.requests_per_second = std::min(0.25 * capacity, 1'500.0 / work.shards);
   plan.classes = {work};
   plan.length = Milliseconds(14'000);
-  constexpr TroubleKind kKinds[] = {TroubleKind::kSlow, TroubleKind::kResets,
-                                    TroubleKind::kSheds, TroubleKind::kDark};
-  const TroubleKind kind = kKinds[random.Below(4)];
-  const double strength = kind == TroubleKind::kSlow
-                              ? 3.0 + 8.0 * random.Unit()
-                              : 0.1 + 0.4 * random.Unit();
-  plan.troubles = {{kind, Milliseconds(6'000), Milliseconds(11'000), strength,
-                    0.05 + 0.3 * random.Unit(), ""}};
+  constexpr FaultKind kKinds[] = {FaultKind::kSlow, FaultKind::kResets,
+                                  FaultKind::kSheds, FaultKind::kDark};
+  const FaultKind kind = kKinds[random.Below(4)];
+  const double strength = kind == FaultKind::kSlow ? 3.0 + 8.0 * random.Unit()
+                                                   : 0.1 + 0.4 * random.Unit();
+  plan.faults = {{kind, Milliseconds(6'000), Milliseconds(11'000), strength,
+                  0.05 + 0.3 * random.Unit(), ""}};
   return plan;
 }
 
--- a/emulator/fleet/virtual_daemon.cc
+++ b/emulator/fleet/virtual_daemon.cc
@@ -20,7 +20,7 @@
 constexpr base::Duration kBeyondDeadline = base::Milliseconds(50);
 // The same value as in daemon::OpaqueDaemon.
 constexpr double kPlannedConnections = 0.9;
-constexpr int kMostInFlight = 2000;
+constexpr int kMaxInFlight = 2000;
 
 // The reply to another daemon, as platform::MakePeerCodec() makes it.
 ForwardReply MakePeerReply(query::ForwardedAnswer answer) {
@@ -69,7 +69,7 @@
           blackboard_,
           base::Log())),
       quarantine_(MakeQuarantine()),
-      service_({kMostInFlight, [this] { return world_.plan.extra_sends; },
+      service_({kMaxInFlight, [this] { return world_.plan.extra_sends; },
                 base::Ablation(world.plan.without)},
                world.clock,
                world.runner,
@@ -341,7 +341,7 @@
   world_.did_arrive(request_id, call->leaf->upstream().name);
   call->has_reached_leaf = true;
   const DeadlyRequest* deadly = world_.deadly(request_id);
-  call->job = call->leaf->Take(
+  call->job = call->leaf->Submit(
       {world_.draw_work(request_id), deadline,
        [this, call](LeafOutcome outcome) {
          Deliver(DelayTo(call->leaf->upstream()),
@@ -394,7 +394,7 @@
   DropConnection(*call);
   (void)world_.runner.After(DelayTo(call->leaf->upstream()), [call] {
     call->leaf->Disconnect(call->leaf_start);
-    call->leaf->Drop(call->job);
+    call->leaf->Cancel(call->job);
   });
 }
 
--- a/emulator/fleet/virtual_fleet.cc
+++ b/emulator/fleet/virtual_fleet.cc
@@ -14,16 +14,16 @@
 
 namespace {
 
-// Callers honour a retry delay of up to this fraction of their remaining time.
-constexpr int kLongestPauseShare = 3;
-constexpr std::size_t kMostViolations = 20;
+// Callers honour a retry delay of up to their remaining time divided by this.
+constexpr int kMaxPauseDivisor = 3;
+constexpr std::size_t kMaxViolations = 20;
 // Number of crashes after which daemons should recognise a deadly request.
-constexpr int kCrashesToKnow = 3;
+constexpr int kCrashesToRecognize = 3;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 // Offsets added to the plan's seed, one per random stream.
 constexpr std::uint64_t kArrivalsStream = 1'000'000'007;
-constexpr std::uint64_t kTroubleStream = 2'000'000'011;
+constexpr std::uint64_t kFaultStream = 2'000'000'011;
 
 std::string RegionName(int index) {
   return "r" + std::to_string(index);
@@ -86,18 +86,18 @@
 VirtualFleet::VirtualFleet(FleetPlan plan)
     : plan_(std::move(plan)),
       arrivals_random_(plan_.seed + kArrivalsStream),
-      trouble_random_(plan_.seed + kTroubleStream),
+      fault_random_(plan_.seed + kFaultStream),
       random_(std::make_shared<base::Random>(plan_.seed)),
       world_{plan_,   clock_, runner_,
              random_, {},     {},
              {},      {},     std::make_shared<VirtualStore>(runner_)} {
   world_.deadly = [this](const std::string& request_id) {
-    const auto row = deadly_of_.find(request_id);
-    return row == deadly_of_.end() ? nullptr : row->second;
+    const auto row = deadly_by_request_.find(request_id);
+    return row == deadly_by_request_.end() ? nullptr : row->second;
   };
   world_.draw_work = [this](const std::string& request_id) {
-    const ClassPlan& plan =
-        plan_.classes[static_cast<std::size_t>(class_of_.at(request_id))];
+    const ClassPlan& plan = plan_.classes[static_cast<std::size_t>(
+        class_by_request_.at(request_id))];
     // Box-Muller transform: two uniform numbers give one normal deviate.
     constexpr double kTwoPi = 6.283185307179586;
     const double normal = std::sqrt(-2.0 * std::log(1.0 - random_->Unit())) *
@@ -113,14 +113,14 @@
   world_.did_run = [this](const std::string& id) {
     if (const DeadlyRequest* deadly = world_.deadly(id)) {
       DeadlyCounts& counts = deadly_[deadly];
-      if (++counts.crashes == kCrashesToKnow) {
+      if (++counts.crashes == kCrashesToRecognize) {
         counts.known_at = clock_.Now() + plan_.known_after;
       }
     }
     const auto& plan =
-        plan_.classes[static_cast<std::size_t>(class_of_.at(id))];
+        plan_.classes[static_cast<std::size_t>(class_by_request_.at(id))];
     if (++runs_[id] > 1 && !plan.is_idempotent) {
-      Violate(id + " is not idempotent and ran twice");
+      RecordViolation(id + " is not idempotent and ran twice");
     }
   };
   MakeLeaves();
@@ -229,7 +229,7 @@
 }
 
 FleetReport VirtualFleet::Run() {
-  ScheduleTroubles();
+  ScheduleFaults();
   for (int index = 0; index < static_cast<int>(plan_.classes.size()); ++index) {
     ScheduleCaller(index);
   }
@@ -261,128 +261,128 @@
   return report_;
 }
 
-void VirtualFleet::ScheduleTroubles() {
-  for (const Trouble& trouble : plan_.troubles) {
-    (void)runner_.After(trouble.begin, [this, &trouble] { Begin(trouble); });
-    (void)runner_.After(trouble.end, [this, &trouble] { End(trouble); });
+void VirtualFleet::ScheduleFaults() {
+  for (const Fault& fault : plan_.faults) {
+    (void)runner_.After(fault.begin, [this, &fault] { Begin(fault); });
+    (void)runner_.After(fault.end, [this, &fault] { End(fault); });
   }
 }
 
-std::vector<std::shared_ptr<VirtualLeaf>> VirtualFleet::Draw(
-    const Trouble& trouble) {
+std::vector<std::shared_ptr<VirtualLeaf>> VirtualFleet::SelectLeaves(
+    const Fault& fault) {
   std::vector<std::shared_ptr<VirtualLeaf>> leaves;
   for (const auto& [name, leaf] : world_.leaves) {
-    if (trouble.collection.empty() ||
-        leaf->upstream().collection == trouble.collection) {
+    if (fault.collection.empty() ||
+        leaf->upstream().collection == fault.collection) {
       leaves.push_back(leaf);
     }
   }
   const auto count = static_cast<std::size_t>(
-      std::lround(trouble.share * static_cast<double>(leaves.size())));
+      std::lround(fault.share * static_cast<double>(leaves.size())));
   while (leaves.size() > count) {
     leaves.erase(leaves.begin() + static_cast<std::ptrdiff_t>(
-                                      trouble_random_.Below(leaves.size())));
+                                      fault_random_.Below(leaves.size())));
   }
   return leaves;
 }
 
-void VirtualFleet::Begin(const Trouble& trouble) {
-  if (trouble.kind == TroubleKind::kBurst) {
-    burst_ = trouble.strength;
+void VirtualFleet::Begin(const Fault& fault) {
+  if (fault.kind == FaultKind::kBurst) {
+    burst_ = fault.strength;
     return;
   }
-  if (trouble.kind == TroubleKind::kPowerLoss) {
+  if (fault.kind == FaultKind::kPowerLoss) {
     for (auto& daemon : daemons_) {
       daemon->Kill();
       dead_.push_back(std::move(daemon));
     }
     return;
   }
-  if (trouble.kind == TroubleKind::kFrozenDaemons) {
-    Freeze(trouble);
+  if (fault.kind == FaultKind::kFrozenDaemons) {
+    Freeze(fault);
     return;
   }
-  if (trouble.kind == TroubleKind::kMuteDaemons) {
-    Mute(trouble);
+  if (fault.kind == FaultKind::kMuteDaemons) {
+    Mute(fault);
     return;
   }
-  if (trouble.kind == TroubleKind::kNoDatagrams) {
+  if (fault.kind == FaultKind::kNoDatagrams) {
     world_.has_datagrams = false;
     return;
   }
-  if (trouble.kind == TroubleKind::kStoreAway) {
-    world_.store->SetAway(true);
+  if (fault.kind == FaultKind::kStoreUnavailable) {
+    world_.store->SetUnavailable(true);
     return;
   }
-  drawn_[&trouble] = Draw(trouble);
-  for (const auto& leaf : drawn_[&trouble]) {
+  affected_leaves_[&fault] = SelectLeaves(fault);
+  for (const auto& leaf : affected_leaves_[&fault]) {
     VirtualLeaf::Faults& faults = leaf->faults();
-    switch (trouble.kind) {
-      case TroubleKind::kSlow:
-        faults.slowness = trouble.strength;
+    switch (fault.kind) {
+      case FaultKind::kSlow:
+        faults.slowness = fault.strength;
         break;
-      case TroubleKind::kResets:
-        faults.reset_probability = trouble.strength;
+      case FaultKind::kResets:
+        faults.reset_probability = fault.strength;
         break;
-      case TroubleKind::kSheds:
-        faults.shed_probability = trouble.strength;
+      case FaultKind::kSheds:
+        faults.shed_probability = fault.strength;
         break;
-      case TroubleKind::kDark:
+      case FaultKind::kDark:
         faults.is_dark = true;
         break;
-      case TroubleKind::kCrash:
-        leaf->Crash(trouble.end - trouble.begin);
+      case FaultKind::kCrash:
+        leaf->Crash(fault.end - fault.begin);
         break;
-      case TroubleKind::kAddressReused:
+      case FaultKind::kAddressReused:
         leaf->Crash(plan_.length);
         break;
-      case TroubleKind::kPowerLoss:
-      case TroubleKind::kBurst:
-      case TroubleKind::kFrozenDaemons:
-      case TroubleKind::kMuteDaemons:
-      case TroubleKind::kNoDatagrams:
-      case TroubleKind::kStoreAway:
+      case FaultKind::kPowerLoss:
+      case FaultKind::kBurst:
+      case FaultKind::kFrozenDaemons:
+      case FaultKind::kMuteDaemons:
+      case FaultKind::kNoDatagrams:
+      case FaultKind::kStoreUnavailable:
         break;
     }
   }
 }
 
-void VirtualFleet::Freeze(const Trouble& trouble) {
+void VirtualFleet::Freeze(const Fault& fault) {
   for (const auto& daemon : daemons_) {
-    if (daemon && trouble_random_.Unit() < trouble.share) {
-      daemon->Freeze(start() + trouble.end);
+    if (daemon && fault_random_.Unit() < fault.share) {
+      daemon->Freeze(start() + fault.end);
     }
   }
 }
 
-void VirtualFleet::Mute(const Trouble& trouble) {
+void VirtualFleet::Mute(const Fault& fault) {
   for (const auto& daemon : daemons_) {
-    if (daemon && trouble_random_.Unit() < trouble.share) {
-      daemon->Mute(start() + trouble.end);
+    if (daemon && fault_random_.Unit() < fault.share) {
+      daemon->Mute(start() + fault.end);
     }
   }
 }
 
-void VirtualFleet::End(const Trouble& trouble) {
-  if (trouble.kind == TroubleKind::kBurst) {
+void VirtualFleet::End(const Fault& fault) {
+  if (fault.kind == FaultKind::kBurst) {
     burst_ = 1.0;
     return;
   }
-  if (trouble.kind == TroubleKind::kPowerLoss) {
+  if (fault.kind == FaultKind::kPowerLoss) {
     StartDaemons();
     return;
   }
-  if (trouble.kind == TroubleKind::kNoDatagrams) {
+  if (fault.kind == FaultKind::kNoDatagrams) {
     world_.has_datagrams = true;
     return;
   }
-  if (trouble.kind == TroubleKind::kStoreAway) {
-    world_.store->SetAway(false);
+  if (fault.kind == FaultKind::kStoreUnavailable) {
+    world_.store->SetUnavailable(false);
     return;
   }
-  for (const auto& leaf : drawn_[&trouble]) {
-    if (trouble.kind == TroubleKind::kAddressReused) {
-      leaf->GiveAddressTo(trouble.tenant);
+  for (const auto& leaf : affected_leaves_[&fault]) {
+    if (fault.kind == FaultKind::kAddressReused) {
+      leaf->ReassignAddress(fault.tenant);
     } else {
       leaf->faults() = {};
     }
@@ -399,21 +399,22 @@
     if (clock_.Now() - start() >= plan_.length) {
       return;
     }
-    auto errand = std::make_shared<Errand>();
-    errand->class_index = class_index;
-    errand->began = clock_.Now();
-    errand->second =
+    auto caller_request = std::make_shared<CallerRequest>();
+    caller_request->class_index = class_index;
+    caller_request->began = clock_.Now();
+    caller_request->second =
         static_cast<int>((clock_.Now() - start()) / base::Milliseconds(1'000));
-    errand->target =
+    caller_request->target =
         PrefixOf(plan_.classes[static_cast<std::size_t>(class_index)]);
     if (plan_.targets_per_class != 1) {
-      const int count = CountsOf(*errand).asked + 1'000 * errand->second;
-      errand->target += std::to_string(plan_.targets_per_class == 0
-                                           ? count
-                                           : count % plan_.targets_per_class);
+      const int count =
+          CountsOf(*caller_request).asked + 1'000 * caller_request->second;
+      caller_request->target += std::to_string(
+          plan_.targets_per_class == 0 ? count
+                                       : count % plan_.targets_per_class);
     }
-    ++CountsOf(*errand).asked;
-    Try(errand);
+    ++CountsOf(*caller_request).asked;
+    SendAttempt(caller_request);
     ScheduleCaller(class_index);
   });
 }
@@ -424,26 +425,28 @@
                                    return row.name == deadly.class_name;
                                  });
   for (int time = 0; time < deadly.times; ++time) {
-    (void)runner_.After(deadly.first + time * deadly.gap, [this, plan,
-                                                           &deadly] {
-      auto errand = std::make_shared<Errand>();
-      errand->class_index = static_cast<int>(plan - plan_.classes.begin());
-      errand->began = clock_.Now();
-      errand->deadly = &deadly;
-      errand->target = PrefixOf(*plan) + "deadly" +
-                       std::to_string(&deadly - plan_.deadly_requests.data());
-      Try(errand);
-    });
+    (void)runner_.After(
+        deadly.first + time * deadly.gap, [this, plan, &deadly] {
+          auto caller_request = std::make_shared<CallerRequest>();
+          caller_request->class_index =
+              static_cast<int>(plan - plan_.classes.begin());
+          caller_request->began = clock_.Now();
+          caller_request->deadly = &deadly;
+          caller_request->target =
+              PrefixOf(*plan) + "deadly" +
+              std::to_string(&deadly - plan_.deadly_requests.data());
+          SendAttempt(caller_request);
+        });
   }
 }
 
 void VirtualFleet::CheckDeadly() {
   for (const auto& [deadly, counts] : deadly_) {
-    const int retries = static_cast<int>(counts.tries_after.size());
+    const int retries = static_cast<int>(counts.attempts_after_known.size());
     report_.deadly_crashes += counts.crashes;
     report_.deadly_retries = std::max(report_.deadly_retries, retries);
-    if (retries > plan_.most_deadly_retries) {
-      Violate(
+    if (retries > plan_.max_deadly_retries) {
+      RecordViolation(
           "a deadly request that should have been blocked reached leaves in " +
           std::to_string(retries) + " more attempts; " +
           std::to_string(counts.crashes) + " leaf crashes in total");
@@ -461,16 +464,18 @@
   return daemons_[std::min(index, daemons_.size() - 1)].get();
 }
 
-void VirtualFleet::Try(const std::shared_ptr<Errand>& errand) {
+void VirtualFleet::SendAttempt(
+    const std::shared_ptr<CallerRequest>& caller_request) {
   const ClassPlan& plan =
-      plan_.classes[static_cast<std::size_t>(errand->class_index)];
-  const base::Duration left = errand->began + plan.deadline - clock_.Now();
+      plan_.classes[static_cast<std::size_t>(caller_request->class_index)];
+  const base::Duration left =
+      caller_request->began + plan.deadline - clock_.Now();
   VirtualDaemon* daemon = PickDaemon();
-  ++errand->tries;
+  ++caller_request->attempts;
   if (daemon == nullptr || daemon->is_frozen()) {
     // No daemon answers; the caller times out after a third of its time.
-    (void)runner_.After(left / kLongestPauseShare,
-                        [this, errand] { Retry(errand, {}); });
+    (void)runner_.After(left / kMaxPauseDivisor,
+                        [this, caller_request] { Retry(caller_request, {}); });
     return;
   }
   query::IncomingRequest request;
@@ -478,68 +483,70 @@
   request.host = "fleet";
   request.deadline = left;
   request.message = std::make_shared<const http1::Request>(
-      boost::beast::http::verb::get, errand->target, 11);
-  class_of_[request.request_id] = errand->class_index;
-  if (errand->deadly != nullptr) {
-    deadly_of_[request.request_id] = errand->deadly;
+      boost::beast::http::verb::get, caller_request->target, 11);
+  class_by_request_[request.request_id] = caller_request->class_index;
+  if (caller_request->deadly != nullptr) {
+    deadly_by_request_[request.request_id] = caller_request->deadly;
   }
   const std::string id = request.request_id;
   // A daemon that loses power doesn't answer; the caller's connection hangs.
   (void)runner_.After(
-      plan_.links.to_callers,
-      [this, daemon, errand, id, request = std::move(request)]() mutable {
-        daemon->Submit(std::move(request), [this, errand,
+      plan_.links.to_callers, [this, daemon, caller_request, id,
+                               request = std::move(request)]() mutable {
+        daemon->Submit(std::move(request), [this, caller_request,
                                             id](query::ForwardedAnswer answer) {
-          (void)runner_.After(plan_.links.to_callers,
-                              [this, errand, id, answer = std::move(answer)] {
-                                DidAnswer(errand, id, answer);
-                              });
+          (void)runner_.After(
+              plan_.links.to_callers,
+              [this, caller_request, id, answer = std::move(answer)] {
+                DidAnswer(caller_request, id, answer);
+              });
         });
       });
 }
 
-void VirtualFleet::DidAnswer(const std::shared_ptr<Errand>& errand,
-                             const std::string& request_id,
-                             const query::ForwardedAnswer& answer) {
+void VirtualFleet::DidAnswer(
+    const std::shared_ptr<CallerRequest>& caller_request,
+    const std::string& request_id,
+    const query::ForwardedAnswer& answer) {
   const ClassPlan& plan =
-      plan_.classes[static_cast<std::size_t>(errand->class_index)];
+      plan_.classes[static_cast<std::size_t>(caller_request->class_index)];
   int missing = 0;
-  if (errand->deadly != nullptr) {
+  if (caller_request->deadly != nullptr) {
     const auto* refused = std::get_if<query::Refused>(&answer);
     if (refused != nullptr && runs_[request_id] > 0) {
-      Violate(request_id + " was refused as not run, and ran");
+      RecordViolation(request_id + " was refused as not run, and ran");
     }
     if (refused != nullptr || plan.is_idempotent) {
-      Retry(errand, refused ? refused->retry_after : base::Duration{});
+      Retry(caller_request, refused ? refused->retry_after : base::Duration{});
     }
     return;
   }
   if (const auto* refused = std::get_if<query::Refused>(&answer)) {
     if (runs_[request_id] > 0) {
-      Violate(request_id + " was refused as not run, and ran");
+      RecordViolation(request_id + " was refused as not run, and ran");
     }
-    Retry(errand, refused->retry_after);
+    Retry(caller_request, refused->retry_after);
     return;
   }
   if (std::holds_alternative<query::Unknown>(answer)) {
     if (plan.is_idempotent) {
-      Retry(errand, {});
+      Retry(caller_request, {});
     } else {
-      ++CountsOf(*errand).failed;
+      ++CountsOf(*caller_request).failed;
     }
     return;
   }
   if (const auto* passed = std::get_if<query::PassedOn>(&answer)) {
     if (passed->message.result() != http1::Status::ok) {
-      ++CountsOf(*errand).failed;
+      ++CountsOf(*caller_request).failed;
       return;
     }
   }
   if (const auto* gathered = std::get_if<query::Gathered>(&answer)) {
     missing = gathered->missing;
   }
-  const base::Duration latency = clock_.Now() - errand->began;
-  CallerCounts& counts = CountsOf(*errand);
+  const base::Duration latency = clock_.Now() - caller_request->began;
+  CallerCounts& counts = CountsOf(*caller_request);
   counts.latencies.push_back(latency);
   if (latency > plan.target) {
     ++counts.late;
@@ -551,28 +558,29 @@
   counts.credit += share * share;
 }
 
-void VirtualFleet::Retry(const std::shared_ptr<Errand>& errand,
+void VirtualFleet::Retry(const std::shared_ptr<CallerRequest>& caller_request,
                          base::Duration pause) {
   const ClassPlan& plan =
-      plan_.classes[static_cast<std::size_t>(errand->class_index)];
-  const base::Duration left = errand->began + plan.deadline - clock_.Now();
-  constexpr int kMostTries = 2;
-  if (errand->tries >= kMostTries || left <= base::Duration{}) {
-    if (errand->deadly != nullptr) {
+      plan_.classes[static_cast<std::size_t>(caller_request->class_index)];
+  const base::Duration left =
+      caller_request->began + plan.deadline - clock_.Now();
+  constexpr int kMaxAttempts = 2;
+  if (caller_request->attempts >= kMaxAttempts || left <= base::Duration{}) {
+    if (caller_request->deadly != nullptr) {
       return;
     }
-    CallerCounts& counts = CountsOf(*errand);
+    CallerCounts& counts = CountsOf(*caller_request);
     ++(pause > base::Duration{} ? counts.refused : counts.failed);
     return;
   }
-  (void)runner_.After(std::min(pause, left / kLongestPauseShare),
-                      [this, errand] { Try(errand); });
+  (void)runner_.After(std::min(pause, left / kMaxPauseDivisor),
+                      [this, caller_request] { SendAttempt(caller_request); });
 }
 
-CallerCounts& VirtualFleet::CountsOf(const Errand& errand) {
+CallerCounts& VirtualFleet::CountsOf(const CallerRequest& caller_request) {
   const std::string& name =
-      plan_.classes[static_cast<std::size_t>(errand.class_index)].name;
-  return report_.classes[name][static_cast<std::size_t>(errand.second)];
+      plan_.classes[static_cast<std::size_t>(caller_request.class_index)].name;
+  return report_.classes[name][static_cast<std::size_t>(caller_request.second)];
 }
 
 void VirtualFleet::CountArrival(const std::string& request_id,
@@ -580,7 +588,7 @@
   if (const DeadlyRequest* deadly = world_.deadly(request_id)) {
     DeadlyCounts& counts = deadly_[deadly];
     if (counts.known_at && clock_.Now() > *counts.known_at) {
-      counts.tries_after.insert(request_id);
+      counts.attempts_after_known.insert(request_id);
     }
   }
   ++report_.sends;
@@ -595,12 +603,12 @@
 void VirtualFleet::CheckExtraSends() {
   for (const std::string& excess : arrivals_.FindExcess(
            plan_.checked_extra_sends.value_or(plan_.extra_sends))) {
-    Violate(excess);
+    RecordViolation(excess);
   }
 }
 
-void VirtualFleet::Violate(const std::string& what) {
-  if (report_.violations.size() < kMostViolations) {
+void VirtualFleet::RecordViolation(const std::string& what) {
+  if (report_.violations.size() < kMaxViolations) {
     report_.violations.push_back(what);
   }
 }
--- a/emulator/fleet/virtual_fleet.h
+++ b/emulator/fleet/virtual_fleet.h
@@ -81,11 +81,11 @@
 
  private:
   // One request of a caller, across all attempts.
-  struct Errand {
+  struct CallerRequest {
     int class_index = 0;
     int second = 0;
     base::MonotonicTime began;
-    int tries = 0;
+    int attempts = 0;
     std::string target;
     // Null for ordinary requests. Only those count in CallerCounts.
     const DeadlyRequest* deadly = nullptr;
@@ -96,7 +96,7 @@
     int crashes = 0;
     // Set at the third crash.
     std::optional<base::MonotonicTime> known_at;
-    std::set<std::string> tries_after;
+    std::set<std::string> attempts_after_known;
   };
 
   void AddLeaf(const std::string& collection,
@@ -108,27 +108,28 @@
   void MakeRoutes();
   void MakeDaemons();
   void StartDaemons();
-  void ScheduleTroubles();
-  void Begin(const Trouble& trouble);
+  void ScheduleFaults();
+  void Begin(const Fault& fault);
   // Freeze or mute the daemons that a fault applies to.
-  void Freeze(const Trouble& trouble);
-  void Mute(const Trouble& trouble);
-  void End(const Trouble& trouble);
+  void Freeze(const Fault& fault);
+  void Mute(const Fault& fault);
+  void End(const Fault& fault);
   // Randomly selects the leaves that a fault applies to.
-  std::vector<std::shared_ptr<VirtualLeaf>> Draw(const Trouble& trouble);
+  std::vector<std::shared_ptr<VirtualLeaf>> SelectLeaves(const Fault& fault);
   void ScheduleCaller(int class_index);
   void ScheduleDeadly(const DeadlyRequest& deadly);
   void CheckDeadly();
-  void Try(const std::shared_ptr<Errand>& errand);
-  void DidAnswer(const std::shared_ptr<Errand>& errand,
+  void SendAttempt(const std::shared_ptr<CallerRequest>& caller_request);
+  void DidAnswer(const std::shared_ptr<CallerRequest>& caller_request,
                  const std::string& request_id,
                  const query::ForwardedAnswer& answer);
-  void Retry(const std::shared_ptr<Errand>& errand, base::Duration pause);
+  void Retry(const std::shared_ptr<CallerRequest>& caller_request,
+             base::Duration pause);
   VirtualDaemon* PickDaemon();
-  CallerCounts& CountsOf(const Errand& errand);
+  CallerCounts& CountsOf(const CallerRequest& caller_request);
   void CountArrival(const std::string& request_id, const std::string& leaf);
   void CheckExtraSends();
-  void Violate(const std::string& what);
+  void RecordViolation(const std::string& what);
   base::MonotonicTime start() const { return {}; }
 
   const FleetPlan plan_;
@@ -141,7 +142,7 @@
   // Separate random streams, so that requests and faults are the same whatever
   // the daemons decide and policies can be compared.
   base::Random arrivals_random_;
-  base::Random trouble_random_;
+  base::Random fault_random_;
   const std::shared_ptr<base::Random> random_;
   FleetWorld world_;
   blackboard::MembershipView members_;
@@ -151,14 +152,15 @@
   std::vector<std::unique_ptr<VirtualDaemon>> daemons_;
   // Daemons that lost power; kept alive because their sessions refer to them.
   std::vector<std::unique_ptr<VirtualDaemon>> dead_;
-  std::map<const Trouble*, std::vector<std::shared_ptr<VirtualLeaf>>> drawn_;
+  std::map<const Fault*, std::vector<std::shared_ptr<VirtualLeaf>>>
+      affected_leaves_;
   double burst_ = 1.0;
   std::map<const DeadlyRequest*, DeadlyCounts> deadly_;
   // By request ID.
-  std::map<std::string, const DeadlyRequest*> deadly_of_;
+  std::map<std::string, const DeadlyRequest*> deadly_by_request_;
   int requests_ = 0;
   // By request ID: the index of its class, and how often leaves ran it.
-  std::map<std::string, int> class_of_;
+  std::map<std::string, int> class_by_request_;
   std::map<std::string, int> runs_;
   ArrivalRecord arrivals_;
   FleetReport report_;
--- a/emulator/fleet/virtual_leaf.cc
+++ b/emulator/fleet/virtual_leaf.cc
@@ -25,7 +25,7 @@
           random_->Unit() *
           static_cast<double>(plan_.pause_interval.count()))) {}
 
-std::uint64_t VirtualLeaf::Take(Job job) {
+std::uint64_t VirtualLeaf::Submit(Job job) {
   const std::uint64_t number = ++numbers_;
   if (is_down_) {
     job.done(LeafOutcome::kLost);
@@ -50,7 +50,7 @@
   return number;
 }
 
-void VirtualLeaf::Drop(std::uint64_t number) {
+void VirtualLeaf::Cancel(std::uint64_t number) {
   std::erase_if(queue_,
                 [number](const auto& row) { return row.first == number; });
   if (running_.erase(number) > 0) {
@@ -88,7 +88,7 @@
   const double factor = speed_ * faults_.slowness;
   const base::Duration work(static_cast<std::int64_t>(
       static_cast<double>(job.work.count()) * factor));
-  const base::MonotonicTime end = EndOf(work);
+  const base::MonotonicTime end = CompletionTime(work);
   const bool is_late = end > job.deadline;
   const bool is_reset = random_->Unit() < faults_.reset_probability;
   const LeafOutcome outcome = is_late    ? LeafOutcome::kFailed
@@ -129,7 +129,7 @@
   });
 }
 
-void VirtualLeaf::GiveAddressTo(const std::string& collection) {
+void VirtualLeaf::ReassignAddress(const std::string& collection) {
   tenant_ = collection;
   is_down_ = false;
   ++starts_;
@@ -146,7 +146,7 @@
   StartNext();
 }
 
-base::MonotonicTime VirtualLeaf::EndOf(base::Duration work) const {
+base::MonotonicTime VirtualLeaf::CompletionTime(base::Duration work) const {
   if (plan_.pause == base::Duration{}) {
     return clock_.Now() + work;
   }
--- a/emulator/fleet/virtual_leaf.h
+++ b/emulator/fleet/virtual_leaf.h
@@ -49,10 +49,10 @@
               base::TaskRunner runner,
               std::shared_ptr<base::Random> random);
 
-  // Starts or queues the job. Returns its number, for Drop().
-  std::uint64_t Take(Job job);
+  // Starts or queues the job. Returns its number, for Cancel().
+  std::uint64_t Submit(Job job);
   // Cancels the job, because its connection was closed.
-  void Drop(std::uint64_t number);
+  void Cancel(std::uint64_t number);
 
   // Opens a connection. Returns false if it is reset because the leaf is at its
   // connection limit.
@@ -67,7 +67,7 @@
   bool is_down() const { return is_down_; }
   // Ends the process permanently and starts a leaf of another collection at its
   // address, which rejects requests meant for this leaf.
-  void GiveAddressTo(const std::string& collection);
+  void ReassignAddress(const std::string& collection);
   // The collection that currently uses the address.
   const std::string& collection_at_address() const {
     return tenant_.empty() ? upstream_.collection : tenant_;
@@ -85,7 +85,7 @@
   void Run(std::uint64_t number, Job job);
   void End(std::uint64_t number, upstream::LeafOutcome outcome);
   // Completion time of work that starts now, including pauses.
-  base::MonotonicTime EndOf(base::Duration work) const;
+  base::MonotonicTime CompletionTime(base::Duration work) const;
 
   const blackboard::Upstream upstream_;
   const LeafPlan plan_;
--- a/emulator/fleet/virtual_store.h
+++ b/emulator/fleet/virtual_store.h
@@ -24,7 +24,7 @@
            const std::string& value,
            const std::function<void(base::Status)>& done);
   // While unavailable, it fails writes and sends no notifications.
-  void SetAway(bool is_away);
+  void SetUnavailable(bool is_unavailable);
   // Sends all entries to the daemon, now or once the store is available again,
   // and then each change.
   void Follow(const std::string& daemon, DidChange did_change);
@@ -34,12 +34,12 @@
   const std::map<std::string, std::string>& rows() const { return rows_; }
 
  private:
-  void TellAll(const std::string& daemon);
+  void SendAll(const std::string& daemon);
 
   const base::TaskRunner runner_;
   std::map<std::string, std::string> rows_;
   std::map<std::string, DidChange> followers_;
-  bool is_away_ = false;
+  bool is_unavailable_ = false;
   int writes_ = 0;
 };
 
--- a/tests/fleet/address_reuse_test.cc
+++ b/tests/fleet/address_reuse_test.cc
@@ -37,10 +37,10 @@
 FleetPlan WithReusedAddress(FleetPlan plan) {
   const std::string shard = CollectionName(3);
   plan.length = Milliseconds(24'000);
-  plan.troubles = {{TroubleKind::kAddressReused, Milliseconds(6'000),
-                    Milliseconds(8'000), 1.0, 0.34, shard, CollectionName(4)},
-                   {TroubleKind::kSlow, Milliseconds(5'000),
-                    Milliseconds(22'000), 15.0, 1.0, shard}};
+  plan.faults = {{FaultKind::kAddressReused, Milliseconds(6'000),
+                  Milliseconds(8'000), 1.0, 0.34, shard, CollectionName(4)},
+                 {FaultKind::kSlow, Milliseconds(5'000), Milliseconds(22'000),
+                  15.0, 1.0, shard}};
   return plan;
 }
 
--- a/tests/fleet/deadly_request_test.cc
+++ b/tests/fleet/deadly_request_test.cc
@@ -106,8 +106,8 @@
 TEST(DeadlyRequestTest, IsKnownAfterTheLossOfAllPower) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
-    plan.troubles = {{TroubleKind::kPowerLoss, Milliseconds(11'500),
-                      Milliseconds(12'500), 1.0, 1.0, ""}};
+    plan.faults = {{FaultKind::kPowerLoss, Milliseconds(11'500),
+                    Milliseconds(12'500), 1.0, 1.0, ""}};
     EXPECT_EQ(ExpectKnown(plan), 0);
   }
 }
@@ -118,11 +118,11 @@
 TEST(DeadlyRequestTest, IsFoundOutAnewIfAllPowerGoesWithTheStoreAway) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
-    plan.troubles = {{TroubleKind::kStoreAway, Milliseconds(2'000),
-                      Milliseconds(20'000), 1.0, 1.0, ""},
-                     {TroubleKind::kPowerLoss, Milliseconds(11'500),
-                      Milliseconds(12'500), 1.0, 1.0, ""}};
-    plan.most_deadly_retries = 4;
+    plan.faults = {{FaultKind::kStoreUnavailable, Milliseconds(2'000),
+                    Milliseconds(20'000), 1.0, 1.0, ""},
+                   {FaultKind::kPowerLoss, Milliseconds(11'500),
+                    Milliseconds(12'500), 1.0, 1.0, ""}};
+    plan.max_deadly_retries = 4;
     EXPECT_LE(ExpectKnown(plan), 4);
   }
 }
@@ -131,8 +131,8 @@
 TEST(DeadlyRequestTest, IsKnownWithTheStoreAway) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
-    plan.troubles = {{TroubleKind::kStoreAway, Milliseconds(2'000),
-                      Milliseconds(40'000), 1.0, 1.0, ""}};
+    plan.faults = {{FaultKind::kStoreUnavailable, Milliseconds(2'000),
+                    Milliseconds(40'000), 1.0, 1.0, ""}};
     EXPECT_EQ(ExpectKnown(plan), 0);
   }
 }
@@ -149,8 +149,8 @@
 TEST(DeadlyRequestTest, IsKnownToDaemonsThatStoodStill) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FleetPlan plan = WithDeadlyRequest(SmallFleet(seed));
-    plan.troubles = {{TroubleKind::kFrozenDaemons, Milliseconds(4'900),
-                      Milliseconds(8'500), 1.0, 0.33, ""}};
+    plan.faults = {{FaultKind::kFrozenDaemons, Milliseconds(4'900),
+                    Milliseconds(8'500), 1.0, 0.33, ""}};
     EXPECT_EQ(ExpectKnown(plan), 0);
   }
 }
@@ -186,8 +186,8 @@
   plan.length = Milliseconds(28'000);
   const auto crash = [&plan](int begin, int end, double share,
                              const std::string& collection) {
-    plan.troubles.push_back({TroubleKind::kCrash, Milliseconds(begin),
-                             Milliseconds(end), 1.0, share, collection});
+    plan.faults.push_back({FaultKind::kCrash, Milliseconds(begin),
+                           Milliseconds(end), 1.0, share, collection});
   };
   for (int time = 3'000; time < 26'000; time += 700) {
     crash(time, time + 1'500, 0.05, "");
@@ -204,9 +204,9 @@
   FleetPlan plan = WithCrashes(seed);
   plan.length = Milliseconds(100'000);
   for (const int begin : {13'050, 14'050}) {
-    plan.troubles.push_back({TroubleKind::kCrash, Milliseconds(begin),
-                             Milliseconds(begin + 950), 1.0, 1.0,
-                             kSingleCollection});
+    plan.faults.push_back({FaultKind::kCrash, Milliseconds(begin),
+                           Milliseconds(begin + 950), 1.0, 1.0,
+                           kSingleCollection});
   }
   return plan;
 }
--- a/tests/fleet/handed_over_repeats_test.cc
+++ b/tests/fleet/handed_over_repeats_test.cc
@@ -20,8 +20,8 @@
 FleetPlan WithRejectingLeaves(std::uint64_t seed) {
   FleetPlan plan = LargeFleet(seed);
   plan.length = Milliseconds(16'000);
-  plan.troubles = {{TroubleKind::kSheds, Milliseconds(4'000),
-                    Milliseconds(14'000), 1.0, 1.0, ""}};
+  plan.faults = {{FaultKind::kSheds, Milliseconds(4'000), Milliseconds(14'000),
+                  1.0, 1.0, ""}};
   return plan;
 }
 
@@ -31,8 +31,8 @@
   FleetPlan plan = LargeFleet(seed);
   plan.classes.front().most_attempts = 4;
   plan.length = Milliseconds(16'000);
-  plan.troubles = {{TroubleKind::kMuteDaemons, Milliseconds(4'000),
-                    Milliseconds(14'000), 1.0, 1.0, ""}};
+  plan.faults = {{FaultKind::kMuteDaemons, Milliseconds(4'000),
+                  Milliseconds(14'000), 1.0, 1.0, ""}};
   return plan;
 }
 
--- a/tests/fleet/virtual_fleet_test.cc
+++ b/tests/fleet/virtual_fleet_test.cc
@@ -13,7 +13,7 @@
 FleetPlan ShortPlan(std::uint64_t seed) {
   FleetPlan plan = FindPattern("resets")->make(seed);
   plan.length = base::Milliseconds(4'000);
-  plan.troubles.front().begin = base::Milliseconds(1'000);
+  plan.faults.front().begin = base::Milliseconds(1'000);
   return plan;
 }
 
