--- a/emulator/leaf/holding_json.cc
+++ b/emulator/leaf/holding_json.cc
@@ -1,4 +1,4 @@
-// Writes holdings as JSON.
+// Encodes holdings as JSON.
 
 #include "emulator/leaf/holding_json.h"
 
--- a/emulator/leaf/holding_json.h
+++ b/emulator/leaf/holding_json.h
@@ -1,4 +1,4 @@
-// The JSON form of a leaf's holdings, as health and refusals carry it.
+// Encodes a leaf's holdings as JSON, for health pages and refusals.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_HOLDING_JSON_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_HOLDING_JSON_H_
@@ -10,7 +10,7 @@
 
 namespace medlarspread::emulator {
 
-// A JSON array as text.
+// Returns a JSON array as text.
 std::string HoldingsJson(const std::vector<blackboard::Holding>& holdings);
 
 }  // namespace medlarspread::emulator
--- a/emulator/leaf/leaf_command.cc
+++ b/emulator/leaf/leaf_command.cc
@@ -1,4 +1,4 @@
-// Options and life of the `leaf` and `leaves` commands.
+// Options and main functions of the `leaf` and `leaves` commands.
 
 #include "emulator/leaf/leaf_command.h"
 
@@ -18,20 +18,21 @@
 constexpr int kFailure = 1;
 
 void AddHostOptions(cxxopts::Options& options) {
-  options.add_options()("platform", "platform whose VM list to enter",
+  options.add_options()("platform", "address of the platform to register with",
                         cxxopts::value<std::string>()->default_value(""))(
-      "seed", "seed of the random choices",
+      "seed", "random seed",
       cxxopts::value<std::uint64_t>()->default_value("1"))(
       "threads", "traffic threads", cxxopts::value<int>()->default_value("2"));
 }
 
 cxxopts::Options LeafOptions() {
   using cxxopts::value;
-  cxxopts::Options options("medlarspread_emulator leaf", "One leaf.");
+  cxxopts::Options options("medlarspread_emulator leaf",
+                           "Runs one emulated leaf.");
   AddHostOptions(options);
   options.add_options()("name", "name",
                         value<std::string>()->default_value("leaf"))(
-      "address", "where to listen",
+      "address", "address to listen on",
       value<std::string>()->default_value("127.0.0.1:0"))(
       "collection", "collection", value<std::string>()->default_value("main"))(
       "region", "region", value<std::string>()->default_value("r1"))(
@@ -39,24 +40,25 @@
       value<std::string>()->default_value("r1a"))(
       "holdings", "VERSION:LAYOUT:LOW-HIGH,...",
       value<std::string>()->default_value("1:1:0-65536"));
-  options.add_options()("slots", "requests worked on at once",
+  options.add_options()("slots", "requests processed concurrently",
                         value<int>()->default_value("2"))(
-      "connections", "requests in hand at once",
+      "connections", "maximum concurrent requests",
       value<int>()->default_value("25"))("queue-limit",
-                                         "requests that wait for a slot",
+                                         "maximum requests waiting for a slot",
                                          value<int>()->default_value("8"))(
       "items", "items per answer", value<int>()->default_value("1"));
-  options.add_options()("service-ms", "mean service time",
+  options.add_options()("service-ms", "mean service time in ms",
                         value<double>()->default_value("5"))(
-      "gamma-shape", "shape of the service times",
+      "gamma-shape", "shape parameter of the service time distribution",
       value<double>()->default_value("4"))("straggler-share",
-                                           "share of slow requests",
+                                           "fraction of slow requests",
                                            value<double>()->default_value("0"))(
-      "straggler-factor", "how much slower they are",
+      "straggler-factor", "service time factor of slow requests",
       value<double>()->default_value("10"))(
-      "delay-ms", "one-way delay", value<double>()->default_value("0"))(
-      "connect-ms", "cost of a new connection",
-      value<double>()->default_value("0"));
+      "delay-ms", "one-way network delay in ms",
+      value<double>()->default_value("0"))("connect-ms",
+                                           "time to open a connection in ms",
+                                           value<double>()->default_value("0"));
   return options;
 }
 
@@ -91,7 +93,7 @@
   return kFailure;
 }
 
-// Runs the leaves until the process is told to stop.
+// Runs the leaves until the process gets a stop signal.
 int Serve(const std::vector<LeafSettings>& leaves,
           const cxxopts::ParseResult& parsed,
           StopSignal& stop) {
@@ -111,7 +113,8 @@
     }
   }
   stop.Wait();
-  // NOTE: an orderly close would wait for replies that a fault withholds.
+  // NOTE: Exits without cleanup, because an orderly shutdown would wait for
+  // replies that an injected fault never sends.
   std::_Exit(0);
 }
 
@@ -128,7 +131,7 @@
 
 int RunLeaves(int count, char** arguments, StopSignal& stop) {
   cxxopts::Options options("medlarspread_emulator leaves",
-                           "Many leaves in one process.");
+                           "Runs many emulated leaves in one process.");
   AddHostOptions(options);
   options.add_options()("topology", "INI file of services",
                         cxxopts::value<std::string>());
--- a/emulator/leaf/leaf_command.h
+++ b/emulator/leaf/leaf_command.h
@@ -1,4 +1,4 @@
-// The `leaf` and `leaves` commands: stand-ins of upstreams as a process.
+// The `leaf` and `leaves` commands: run emulated upstreams as a process.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_LEAF_COMMAND_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_LEAF_COMMAND_H_
--- a/emulator/leaf/leaf_control.cc
+++ b/emulator/leaf/leaf_control.cc
@@ -1,4 +1,4 @@
-// The pages and control calls of a leaf's HTTP service.
+// Health and load pages and control calls of a leaf's HTTP service.
 
 #include "emulator/leaf/leaf_service.h"
 
@@ -78,7 +78,8 @@
     run_log_.SetDraining(*state == LeafState::kDraining);
   }
   if (json.has_field("faults")) {
-    // The callers gave up on these long ago; their connections end now.
+    // Respond to the requests whose replies were withheld, so that their
+    // connections are released. Their callers have timed out by now.
     for (const http::Responder& respond : std::exchange(lost_, {})) {
       respond(ErrorReply(http::kGatewayTimeout, "deadline", /*ran=*/true, {},
                          StateName()));
--- a/emulator/leaf/leaf_host.cc
+++ b/emulator/leaf/leaf_host.cc
@@ -1,4 +1,4 @@
-// Opens the listeners of leaves and registers them.
+// Starts the listeners of leaves and registers the leaves.
 
 #include "emulator/leaf/leaf_host.h"
 
--- a/emulator/leaf/leaf_host.h
+++ b/emulator/leaf/leaf_host.h
@@ -1,5 +1,5 @@
-// Runs any number of leaves in this process, each with a listener of its own,
-// and can enter them in a platform's VM list.
+// Runs any number of leaves in this process, each with its own listener, and
+// optionally registers them in a platform's VM list.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_LEAF_HOST_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_LEAF_HOST_H_
--- a/emulator/leaf/leaf_service.cc
+++ b/emulator/leaf/leaf_service.cc
@@ -1,4 +1,4 @@
-// The query call of a leaf's HTTP service.
+// Implements the query call of a leaf's HTTP service.
 
 #include "emulator/leaf/leaf_service.h"
 
--- a/emulator/leaf/leaf_service.h
+++ b/emulator/leaf/leaf_service.h
@@ -1,15 +1,17 @@
-// One leaf's HTTP service: queries, cancellation, health, load and, under
-// /control, what tests do to it. All state lives on one sequence.
+// The HTTP service of one emulated leaf: queries, cancellation, health, load
+// and, under /control, calls that tests use to change its state and inject
+// faults. All state is accessed on one sequence.
 //
 // Control calls:
-//   PUT /control sets the fields that are given:
-//     "state":"serving"|"cold"|"draining"; "refuses_when_draining":bool (else
-//       a draining leaf still answers and says so in the reply);
-//     "holdings":"VERSION:LAYOUT:LOW-HIGH,..."; "health_lag_ms": health shows
-//       changes of state and holdings only after it; "slow_factor";
+//   PUT /control sets the fields present in the body:
+//     "state":"serving"|"cold"|"draining"; "refuses_when_draining":bool (if
+//       false, a draining leaf still answers and reports its state in the
+//       reply);
+//     "holdings":"VERSION:LAYOUT:LOW-HIGH,..."; "health_lag_ms": delay until
+//       the health page shows changes of state and holdings; "slow_factor";
 //     "refuse":"shed"|"draining"|"cold"|"" refuses every query;
 //     "faults":{"empty"|"truncated"|...: share}; "late_ms"
-//   GET /control/runs?request_id=..  see RunLog
+//   GET /control/runs?request_id=..  returns RunLog::ToJson()
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_LEAF_SERVICE_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_LEAF_SERVICE_H_
@@ -47,7 +49,7 @@
 
   void Handle(const http::Request& request, const http::Responder& respond);
   void HandleQuery(const std::string& body, const http::Responder& respond);
-  // The refusal that the state, the snapshot and the faults call for, if any.
+  // Returns the refusal required by the state, the snapshot or a fault, if any.
   std::optional<http::Response> RefusalOf(const LeafQuery& query) const;
   void Submit(const LeafQuery& query, const http::Responder& respond);
   void DidEnd(const LeafQuery& query,
@@ -58,7 +60,7 @@
   void Answer(const LeafQuery& query,
               base::Duration service,
               const http::Responder& respond);
-  // Sends the reply once the network's delay has passed.
+  // Sends the reply after the simulated network delay.
   void ReplyLater(const http::Responder& respond, http::Response response);
 
   http::Response HandleCancel(const std::string& body);
@@ -67,8 +69,8 @@
   http::Response HandleControl(const std::string& body);
 
   base::Duration DrawServiceTime();
-  // The delay before a query reaches the leaf: the network's, and that of a
-  // new connection if more requests are in hand than ever before.
+  // The delay before a query reaches the leaf: the network delay, plus the time
+  // to open a connection if concurrency exceeds its previous maximum.
   base::Duration ArrivalDelay();
   bool Holds(const LeafQuery& query) const;
   const char* StateName() const { return kLeafStates.NameOf(health_.state); }
@@ -82,23 +84,23 @@
   const std::shared_ptr<WorkQueue> queue_;
   RunLog run_log_;
 
-  // What the leaf really is, and what its health page shows.
+  // The leaf's actual health, and the delayed view on its health page.
   Health health_;
   Lagged<Health> shown_health_;
   base::Duration health_lag_{};
 
   bool refuses_when_draining_ = true;
   double slow_factor_ = 1.0;
-  // Every query is refused with this error unless it is empty.
+  // If not empty, every query is refused with this error.
   std::string refuse_;
   ReplyFaultShares fault_shares_;
   base::Duration late_ = base::Milliseconds(500);
   std::string previous_answer_;
-  // Replies that are never sent; they hold their connections open.
+  // Requests whose replies are withheld, which keeps their connections open.
   std::vector<http::Responder> lost_;
 
-  // Queries that have come and are not yet answered, and the most of them so
-  // far: callers keep that many connections open and reuse them.
+  // The number of unanswered queries, and its maximum so far. Callers keep that
+  // many connections open and reuse them.
   int in_hand_ = 0;
   int connections_opened_ = 0;
 };
--- a/emulator/leaf/leaf_settings.h
+++ b/emulator/leaf/leaf_settings.h
@@ -1,5 +1,5 @@
-// What one leaf is and how it behaves, as given on the command line, in a
-// topology file or by a control call.
+// Settings of one emulated leaf, from the command line, a topology file or a
+// control call.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_LEAF_SETTINGS_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_LEAF_SETTINGS_H_
@@ -29,11 +29,11 @@
   std::string region = "r1";
   std::string failure_domain = "r1a";
   int slots = 2;
-  // Requests in hand at once; one connection carries one request at a time.
+  // Maximum concurrent requests; a connection carries one request at a time.
   int connections = 25;
-  // Requests that wait for a slot; those beyond it are shed.
+  // Maximum number of requests waiting for a slot; the leaf sheds the rest.
   int queue_limit = 8;
-  // Work that was told to come back is told to wait so long.
+  // Retry delay that refusals give to callers.
   base::Duration retry_after = base::Milliseconds(20);
   std::vector<blackboard::Holding> holdings;
   // Service times are drawn from a gamma distribution.
@@ -41,9 +41,10 @@
   double gamma_shape = 4.0;
   double straggler_share = 0.0;
   double straggler_factor = 10.0;
-  // Passes each way, in place of the network's delay.
+  // Simulated network delay in each direction.
   double delay_ms = 0.0;
-  // Added to a request that needs a new connection; see Connections.
+  // Added to a request that needs a new connection; see
+  // LeafService::ArrivalDelay().
   double connect_ms = 0.0;
   int items_per_answer = 1;
   std::uint64_t seed = 1;
--- a/emulator/leaf/query_message.cc
+++ b/emulator/leaf/query_message.cc
@@ -1,4 +1,4 @@
-// JSON of the leaf's query call.
+// JSON encoding of the leaf's query call.
 
 #include "emulator/leaf/query_message.h"
 
@@ -12,7 +12,8 @@
 
 using web::json::value;
 
-// FNV-1a: it need only tell the queries of one test run apart.
+// FNV-1a suffices, because it only has to distinguish the queries of one test
+// run.
 std::uint64_t Hash(const std::string& text) {
   constexpr std::uint64_t kOffset = 14695981039346656037ULL;
   constexpr std::uint64_t kPrime = 1099511628211ULL;
--- a/emulator/leaf/query_message.h
+++ b/emulator/leaf/query_message.h
@@ -1,6 +1,6 @@
-// The query call of a leaf: the parsed request, the answers, and the items,
-// which name their snapshot, range and query so that a checker of whole
-// answers can tell a mixed or foreign one.
+// Messages of a leaf's query call: the parsed request and the replies. Items of
+// an answer name their snapshot, range and query, so that CheckAnswer() can
+// detect items of a different snapshot or query.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_QUERY_MESSAGE_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_QUERY_MESSAGE_H_
@@ -30,8 +30,8 @@
 
 base::Result<LeafQuery> ParseLeafQuery(const std::string& body);
 
-// Names a query in the items that answer it. `query` is JSON text; spelling
-// apart, equal queries have equal digests.
+// Identifies a query in the items that answer it. `query` is JSON text; the
+// digest does not depend on its formatting.
 std::string QueryDigest(const std::string& query);
 
 struct LeafLoad {
@@ -50,10 +50,10 @@
   LeafLoad load;
 };
 
-// The body of a 200.
+// Makes the body of a 200 response.
 std::string AnswerBody(const LeafAnswer& answer);
 
-// A refusal or failure; `ran` says whether work had started.
+// Makes a refusal or failure response; `ran` is whether work had started.
 http::Response ErrorReply(int status,
                           const std::string& error,
                           bool ran,
--- a/emulator/leaf/reply_faults.cc
+++ b/emulator/leaf/reply_faults.cc
@@ -1,4 +1,4 @@
-// Chooses and applies the faults of replies.
+// Selects and applies reply faults.
 
 #include "emulator/leaf/reply_faults.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A range of the same width, beside the given one where there is room.
+// Returns a range of the same width, adjacent to the given one if possible.
 blackboard::KeyRange NeighbourOf(blackboard::KeyRange range) {
   const std::int32_t width = range.width();
   if (range.high + width <= blackboard::kKeySpace) {
--- a/emulator/leaf/reply_faults.h
+++ b/emulator/leaf/reply_faults.h
@@ -1,4 +1,5 @@
-// Wrong replies: which fault befalls a reply, and what the body then says.
+// Fault injection for replies: selects a fault per reply and applies it to the
+// body.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_REPLY_FAULTS_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_REPLY_FAULTS_H_
@@ -27,7 +28,7 @@
   kDuplicated,
   // The whole answer, but only after `late`.
   kLate,
-  // Never a reply, until the faults are set anew.
+  // No reply until the faults are set again.
   kLost,
   // No fault.
   kNone,
@@ -44,20 +45,21 @@
       {ReplyFault::kLate, "late"},
       {ReplyFault::kLost, "lost"}}}};
 
-// The share of replies that each fault befalls, in the order of kReplyFaults.
+// The fraction of replies that each fault applies to, in the order of
+// kReplyFaults.
 class ReplyFaultShares {
  public:
   void set_share(ReplyFault fault, double share) {
     shares_[static_cast<std::size_t>(fault)] = share;
   }
-  // The fault for one reply; `unit` is uniform in [0, 1).
+  // Selects the fault for one reply; `unit` is uniform in [0, 1).
   ReplyFault Choose(double unit) const;
 
  private:
   std::array<double, kReplyFaultCount> shares_{};
 };
 
-// The body that a 200 carries under `fault`. `previous` is the body of an
+// Makes the body of a 200 response with `fault`. `previous` is the body of an
 // earlier answer, or empty.
 std::string FaultyBody(ReplyFault fault,
                        LeafAnswer answer,
--- a/emulator/leaf/run_log.cc
+++ b/emulator/leaf/run_log.cc
@@ -1,4 +1,4 @@
-// Counts runs and arrivals.
+// Counts the runs and arrivals of queries.
 
 #include "emulator/leaf/run_log.h"
 
--- a/emulator/leaf/run_log.h
+++ b/emulator/leaf/run_log.h
@@ -1,5 +1,5 @@
-// What a leaf remembers of the work it was given, so that a test can tell how
-// often a request ran and when the last new work came.
+// Records the queries that a leaf received and ran, so that tests can check how
+// often a request ran and when the last query arrived.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_RUN_LOG_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_RUN_LOG_H_
@@ -20,21 +20,22 @@
  public:
   explicit RunLog(base::Clock clock) : clock_(clock) {}
 
-  // Any query arrived, whatever becomes of it.
+  // Called for each valid query that arrives, also if it is then refused.
   void DidArrive();
-  // A slot started on it.
+  // Called when a slot starts running the query.
   void DidStart(const LeafQuery& query);
   void DidShed() { ++shed_; }
-  // The leaf began or ceased to drain.
+  // Called when the leaf starts or stops draining.
   void SetDraining(bool is_draining);
 
-  // The body of GET /control/runs; only of `request_id` unless it is empty.
+  // Makes the body of GET /control/runs, for `request_id` or, if that is empty,
+  // for all requests.
   std::string ToJson(const std::string& request_id) const;
 
  private:
-  // Enough for minutes at the highest rate that one leaf sees.
+  // Enough for several minutes at the highest request rate of one leaf.
   static constexpr std::size_t kMaxRuns = 200000;
-  // The request and the low end of its range.
+  // The request ID and the low end of the range.
   using Key = std::pair<std::string, std::int32_t>;
   struct Run {
     blackboard::KeyRange range;
@@ -46,7 +47,7 @@
 
   const base::Clock clock_;
   std::map<Key, Run> runs_;
-  // The keys of runs_, oldest first; the oldest are forgotten.
+  // The keys of runs_, oldest first. The oldest are evicted beyond kMaxRuns.
   std::deque<Key> order_;
   std::int64_t arrived_ = 0;
   std::int64_t started_ = 0;
--- a/emulator/leaf/topology.cc
+++ b/emulator/leaf/topology.cc
@@ -1,4 +1,4 @@
-// Reads a topology file through libinih.
+// Parses a topology file with libinih.
 
 #include "emulator/leaf/topology.h"
 
@@ -20,7 +20,7 @@
   return parts;
 }
 
-// The settings that all leaves of the section share.
+// Returns the settings shared by all leaves of the section.
 LeafSettings ReadCommon(const INIReader& reader, const std::string& section) {
   LeafSettings leaf;
   const auto integer = [&](const char* name, int fallback) {
@@ -43,7 +43,7 @@
   return leaf;
 }
 
-// Called by the library for each line; notes the sections in their order.
+// Callback of the library for each entry; collects the sections in file order.
 int NoteSection(void* user,
                 const char* section,
                 const char* /*name*/,
@@ -60,7 +60,7 @@
                          base::Step::kSettings, "", path + ": " + detail);
 }
 
-// The holding of shard `index` of `shards`.
+// Returns the text form of the holding of shard `index` of `shards`.
 std::string HoldingText(const std::string& snapshot, int index, int shards) {
   const int low = blackboard::kKeySpace * index / shards;
   const int high = blackboard::kKeySpace * (index + 1) / shards;
--- a/emulator/leaf/topology.h
+++ b/emulator/leaf/topology.h
@@ -1,14 +1,15 @@
-// A topology file: many leaves in INI, one section per service.
+// Reads a topology file, which describes many leaves in INI format, one section
+// per service.
 //
 //   [dispute-desk]         the service, which is also the collection
 //   shards = 10            equal ranges of the key space
 //   replicas = 3           leaves per shard, named SERVICE-sSHARD-rREPLICA
-//   regions = r1,r2,r3     replica i lies in the i-th region, cyclically;
+//   regions = r1,r2,r3     replica i is in the i-th region, cyclically,
 //   failure_domains = a,b  and in the i-th failure domain
 //   snapshot = 1:1         index version and layout version
 //   slots, connections, queue_limit, service_ms, gamma_shape,
 //   straggler_share, straggler_factor, delay_ms, connect_ms, items
-//                          as the options of `leaf`
+//                          the same as the options of `leaf`
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_TOPOLOGY_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_TOPOLOGY_H_
@@ -22,7 +23,8 @@
 
 namespace medlarspread::emulator {
 
-// The leaves of the file. Leaf i gets the seed `seed` + i.
+// Returns the settings of all leaves in the file. Leaf i has the seed `seed` +
+// i.
 base::Result<std::vector<LeafSettings>> ReadTopology(const std::string& path,
                                                      std::uint64_t seed);
 
--- a/emulator/leaf/work_queue.cc
+++ b/emulator/leaf/work_queue.cc
@@ -1,4 +1,4 @@
-// Runs work in slots, first come first served.
+// Runs work in slots, in FIFO order.
 
 #include "emulator/leaf/work_queue.h"
 
--- a/emulator/leaf/work_queue.h
+++ b/emulator/leaf/work_queue.h
@@ -1,6 +1,6 @@
-// The slots of one leaf and the bounded queue before them. Work ends when its
-// service time has passed, at its deadline, or when it is cancelled; each frees
-// its slot at once. All calls come from the runner's sequence.
+// The slots of one leaf and the bounded queue in front of them. Work ends after
+// its service time, at its deadline or on cancellation, which frees its slot
+// immediately. All calls must be on the runner's sequence.
 
 #ifndef MEDLARSPREAD_EMULATOR_LEAF_WORK_QUEUE_H_
 #define MEDLARSPREAD_EMULATOR_LEAF_WORK_QUEUE_H_
@@ -20,9 +20,9 @@
   std::string attempt_id;
   base::Duration deadline{};
   base::Duration service{};
-  // Runs when a slot starts on the work.
+  // Called when a slot starts the work.
   std::function<void()> did_start;
-  // Runs once; `ran` says whether a slot had started on it.
+  // Called once; `ran` is whether a slot had started the work.
   std::function<void(WorkEnd end, bool ran)> did_end;
 };
 
@@ -30,9 +30,9 @@
  public:
   WorkQueue(int slots, int queue_limit, base::TaskRunner runner);
 
-  // False if the queue is full; the work is then dropped unseen.
+  // Returns false if the queue is full; no callback of the work is then called.
   bool Submit(Work work);
-  // Whether the attempt was queued or running.
+  // Cancels the attempt. Returns whether it was queued or running.
   bool Cancel(const std::string& attempt_id);
 
   int running() const { return static_cast<int>(running_.size()); }
@@ -52,7 +52,8 @@
   const int slots_;
   const int queue_limit_;
   const base::TaskRunner runner_;
-  // Never more than slots_; queued_ is empty unless all slots are taken.
+  // Invariant: running_.size() <= slots_, and queued_ is empty unless all slots
+  // are in use.
   std::list<EntryPointer> running_;
   std::list<EntryPointer> queued_;
 };
--- a/tests/emulator/leaf_service_test.cc
+++ b/tests/emulator/leaf_service_test.cc
@@ -1,5 +1,5 @@
-// The leaf's stand-in: slots, queue, deadlines, cancellation, states, faults
-// and what it remembers of them. Time is moved by hand.
+// Tests of the emulated leaf: slots, queue, deadlines, cancellation, states,
+// faults and the run log. Uses a manual clock.
 
 #include <optional>
 
--- a/tests/emulator/topology_test.cc
+++ b/tests/emulator/topology_test.cc
@@ -1,4 +1,4 @@
-// Topology files become the leaves that they describe.
+// Tests that topology files are parsed into leaf settings.
 
 #include <unistd.h>
 
