--- a/emulator/hosted/hosted_command.cc
+++ b/emulator/hosted/hosted_command.cc
@@ -1,4 +1,4 @@
-// Options and life of the `hosted` command.
+// Options and main function of the `hosted` command.
 
 #include "emulator/hosted/hosted_command.h"
 
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Connections that each leaf takes from all daemons together.
+// Maximum connections to each leaf from all daemons together.
 constexpr int kConnections = 40;
 
 std::vector<std::string> SplitAtCommas(const std::string& text) {
@@ -40,8 +40,8 @@
   return text;
 }
 
-// A route to all shards, one to the first of them, and one that is not
-// idempotent.
+// Makes a configuration with three routes: one to all shards, one to the first
+// shard, and one that is not idempotent.
 std::string MakeConfiguration(const std::vector<std::string>& shards) {
   const std::string first = base::JsonString(shards.front());
   std::string services;
@@ -68,12 +68,13 @@
 }  // namespace
 
 int RunHosted(int count, char** arguments, StopSignal& stop) {
-  cxxopts::Options options("medlarspread_emulator hosted",
-                           "Store and leaves of the users' platform.");
+  cxxopts::Options options(
+      "medlarspread_emulator hosted",
+      "Emulates the store and the leaves of the users' platform.");
   options.add_options()(
-      "shards", "names of the shards, with commas between",
+      "shards", "comma-separated names of the shards",
       cxxopts::value<std::string>()->default_value("s1,s2,s3"))(
-      "domains", "failure domains with a leaf of each shard",
+      "domains", "number of failure domains, each with a leaf per shard",
       cxxopts::value<std::string>()->default_value("n1,n2"));
   const auto parsed = options.parse(count, arguments);
   const auto shards = SplitAtCommas(parsed["shards"].as<std::string>());
--- a/emulator/hosted/hosted_command.h
+++ b/emulator/hosted/hosted_command.h
@@ -1,5 +1,5 @@
-// The `hosted` command: the store and the leaves of the users' platform as one
-// process, with a configuration of three routes.
+// The `hosted` command: runs emulations of the store and the leaves of the
+// users' platform in one process, with a configuration of three routes.
 
 #ifndef MEDLARSPREAD_EMULATOR_HOSTED_HOSTED_COMMAND_H_
 #define MEDLARSPREAD_EMULATOR_HOSTED_HOSTED_COMMAND_H_
--- a/emulator/hosted/hosted_leaf.cc
+++ b/emulator/hosted/hosted_leaf.cc
@@ -1,4 +1,4 @@
-// Answers with a proof, refuses, or keeps silent.
+// Answers with a proof, refuses, or doesn't answer.
 
 #include "emulator/hosted/hosted_leaf.h"
 
--- a/emulator/hosted/hosted_leaf.h
+++ b/emulator/hosted/hosted_leaf.h
@@ -1,7 +1,8 @@
-// A stand-in for a leaf of the users' platform, which answers opaque requests
-// and counts what it runs.
+// Emulates a leaf of the users' platform: answers opaque requests and counts
+// the requests that it runs.
 //
-// Runs on the thread of its context; the controls may be called from others.
+// Handles requests on the thread of its context; the other functions may be
+// called from any thread.
 
 #ifndef MEDLARSPREAD_EMULATOR_HOSTED_HOSTED_LEAF_H_
 #define MEDLARSPREAD_EMULATOR_HOSTED_HOSTED_LEAF_H_
@@ -23,14 +24,14 @@
 
 inline constexpr std::string_view kDeadlyWord = "deadly";
 
-// What it does with a request.
+// How the leaf responds to requests.
 enum class LeafMood {
   kAnswer,
-  // Refuses without running it.
+  // Refuses the request without running it.
   kShed,
-  // Runs it and never answers.
+  // Runs the request and never answers.
   kMute,
-  // Runs it and answers without a proof.
+  // Runs the request and answers without a proof.
   kNoProof,
 };
 
@@ -41,35 +42,36 @@
              std::string service,
              std::string zone);
 
-  // The value of its entry in the store; `state` is "ready" or "draining".
-  // `address` is where daemons are to connect, if not to the leaf itself.
+  // Makes the value of the leaf's entry in the store; `state` is "ready" or
+  // "draining". If not empty, `address` replaces the leaf's own address.
   std::string MakeEntry(const std::string& state,
                         const std::string& address = "") const;
   std::string address() const;
-  // The one record of the leaves of a service, of sixteen bytes.
+  // The 16-byte record that every leaf of the service returns.
   static std::string RecordOf(const std::string& service);
   const std::string& id() const { return id_; }
 
-  // What its entries say of when it started, Unix time; they don't without it.
+  // Sets the start time in the leaf's entries, as Unix time; by default the
+  // entries have none.
   void set_started(std::int64_t wall_ms) { started_wall_ms_ = wall_ms; }
   void set_mood(LeafMood mood) { mood_ = mood; }
   void set_work(base::Duration work) { work_ = work; }
-  // A run of a request with kDeadlyWord in its target ends the leaf; this is
-  // called then, on the thread of the context.
+  // Sets a callback for when a request with kDeadlyWord in its target ends the
+  // leaf. It is called on the thread of the context.
   void set_did_end(std::function<void()> did_end) {
     did_end_ = std::move(did_end);
   }
-  // Called with the identifier of each request that reaches it, rejected or
-  // not, on the thread of the context.
+  // Sets a callback that gets the ID of each request that reaches the leaf,
+  // including rejected ones, on the thread of the context.
   void set_did_arrive(std::function<void(const std::string&)> did_arrive) {
     did_arrive_ = std::move(did_arrive);
   }
-  // Its port refuses connections and those that are open end.
+  // Simulates the end of the process: closes the listener and all connections.
   void End();
 
   int runs() const { return runs_; }
   int cancelled() const { return cancelled_; }
-  // How often it ran the request.
+  // How often the leaf ran the request.
   int RunsOf(const std::string& request_id) const;
 
  private:
@@ -87,7 +89,7 @@
   std::atomic<LeafMood> mood_ = LeafMood::kAnswer;
   std::atomic<base::Duration> work_ = base::Milliseconds(2);
   std::atomic<std::int64_t> started_wall_ms_ = 0;
-  // Entries made so far.
+  // Number of entries made so far.
   mutable std::atomic<int> entries_ = 0;
   std::atomic<int> runs_ = 0;
   std::atomic<int> cancelled_ = 0;
--- a/emulator/hosted/hosted_store.cc
+++ b/emulator/hosted/hosted_store.cc
@@ -1,4 +1,4 @@
-// The calls of the platform's store.
+// Implements the calls of the platform's store.
 
 #include "emulator/hosted/hosted_store.h"
 
@@ -18,7 +18,7 @@
 
 constexpr int kHttpVersion = 11;
 
-// The parameters of the query of a target.
+// Parses the query parameters of a request target.
 std::map<std::string, std::string> ParametersOf(const std::string& target) {
   std::map<std::string, std::string> parameters;
   const web::uri uri(target);
--- a/emulator/hosted/hosted_store.h
+++ b/emulator/hosted/hosted_store.h
@@ -1,7 +1,8 @@
-// A stand-in for the store of the users' platform: keys, leases, watches, and
-// the ways in which it fails.
+// Emulates the store of the users' platform: keys, leases, watches and failure
+// modes.
 //
-// Runs on the thread of its context; the controls may be called from others.
+// Handles calls on the thread of its context; the other functions may be called
+// from any thread.
 
 #ifndef MEDLARSPREAD_EMULATOR_HOSTED_HOSTED_STORE_H_
 #define MEDLARSPREAD_EMULATOR_HOSTED_HOSTED_STORE_H_
@@ -27,32 +28,32 @@
 
   std::string address() const;
 
-  // Writes or removes a key as the operators and the leaves do.
+  // Writes or removes a key, as operators and leaves do.
   void Put(const std::string& key, const std::string& value);
-  // The same with a value that is no base64.
+  // Writes a key with a value that is not valid base64.
   void PutUnreadable(const std::string& key);
   void Remove(const std::string& key);
-  // While silent, it reads calls and answers none, those that wait included.
+  // While silent, the store reads calls but answers none, including waiting
+  // watches.
   void set_silent(bool is_silent) { is_silent_ = is_silent; }
-  // Cuts all watches and forgets the changes up to now.
+  // Ends all watches and discards the change history.
   void ForgetHistory();
-  // Keeps a copy of everything as it is now, leases included.
+  // Takes a backup of the current content, including leases.
   void TakeCopy();
-  // Comes back as it was at the last copy, in a new era: what was written since
-  // is lost, and its revisions and leases are given out again. All connections
-  // are cut.
+  // Restores the last backup and starts a new era: later writes are lost, and
+  // their revisions and lease IDs are reused. Closes all connections.
   void RestoreCopy();
-  // Gives the next lease out to somebody else.
+  // Assigns the next lease ID to another client.
   void GiveOutLease();
 
-  // Whether somebody has written the key.
+  // Whether the key exists.
   bool Holds(const std::string& key) const;
-  // The lease under which the key was written last; zero if there is none.
+  // The lease of the last write to the key; zero if there is none.
   std::int64_t LeaseOf(const std::string& key) const;
 
-  // Calls so far, without renewals.
+  // Number of calls so far, except lease renewals.
   int calls() const { return calls_; }
-  // Watches that wait for a change now.
+  // Number of watches currently waiting for a change.
   int waiting_watches() const { return waiting_; }
 
  private:
@@ -63,7 +64,7 @@
     bool is_unreadable = false;
     std::int64_t lease = 0;
   };
-  // What a copy holds.
+  // The content that a backup contains.
   struct Content {
     std::map<std::string, Row> rows;
     std::int64_t revision = 1;
@@ -78,14 +79,15 @@
   };
 
   http1::Abandon Handle(const http1::Request& request, http1::Respond respond);
-  // Every answer names the era.
+  // Makes a JSON response; every response contains the era.
   http1::Response MakeJson(http1::Status status, const std::string& body) const;
   void OpenLease(const http1::Respond& respond);
   void KeepLease(const std::string& target, const http1::Respond& respond);
   void Range(const std::string& target, const http1::Respond& respond);
   http1::Abandon StartWatch(const std::string& target, http1::Respond respond);
   void Transact(const std::string& body, const http1::Respond& respond);
-  // All rows, removed ones too, with a later revision, as a JSON array.
+  // Returns the rows with a revision later than `after` as a JSON array,
+  // including removed ones if `with_removed` is set.
   std::string RowsAfter(const std::string& prefix,
                         std::int64_t after,
                         bool with_removed) const;
