--- a/emulator/leaf/leaf_settings.cc
+++ b/emulator/leaf/leaf_settings.cc
@@ -21,8 +21,7 @@
                     &holding.range.low, &holding.range.high) != kFields ||
         !holding.range.is_valid()) {
       return base::MakeError(base::ErrorCode::kInvalidArgument,
-                             base::Step::kSettings, "",
-                             "invalid holding " + part);
+                             base::Step::kSettings, "", "holding " + part);
     }
     holding.snapshot = {version, layout};
     holdings.push_back(holding);
--- a/emulator/load/answer_checker.cc
+++ b/emulator/load/answer_checker.cc
@@ -1,4 +1,4 @@
-// Compares what an answer states with the items it carries.
+// Compares the statements of an answer with its items.
 
 #include "emulator/load/answer_checker.h"
 
@@ -32,7 +32,7 @@
   return {json.at("low").as_integer(), json.at("high").as_integer()};
 }
 
-// The ranges that the items come from, each once.
+// Returns the distinct ranges of the items.
 using Ranges = std::set<KeyRange>;
 
 Violation CheckItems(const AskedQuery& asked,
@@ -58,7 +58,7 @@
   return Violation::kNone;
 }
 
-// The width of the ranges, or nothing if two of them overlap.
+// Returns the total width of the ranges, or nothing if two of them overlap.
 std::optional<std::int64_t> WidthOf(const Ranges& ranges) {
   std::int64_t width = 0;
   std::int32_t end = 0;
@@ -72,7 +72,7 @@
   return width;
 }
 
-// `ranges` and the missing ranges must make up the whole key space.
+// Checks that `ranges` and the missing ranges cover the whole key space.
 bool IsCoverageTrue(const value& coverage, Ranges ranges) {
   const auto answered = WidthOf(ranges);
   if (!answered) {
--- a/emulator/load/answer_checker.h
+++ b/emulator/load/answer_checker.h
@@ -1,5 +1,5 @@
-// Checks a caller's answer against what the system promises, from the outside:
-// the leaves' items name their snapshot, range and query.
+// Checks answers to callers against the guarantees of the system, independently
+// of its code: the leaves' items name their snapshot, range and query.
 
 #ifndef MEDLARSPREAD_EMULATOR_LOAD_ANSWER_CHECKER_H_
 #define MEDLARSPREAD_EMULATOR_LOAD_ANSWER_CHECKER_H_
@@ -12,17 +12,17 @@
 
 enum class Violation {
   kNone,
-  // Not the JSON that docs/INTERFACES.md describes.
+  // The body does not have the format described in docs/INTERFACES.md.
   kMalformed,
-  // The answer to another request, or items of another query.
+  // The answer is for another request, or has items of another query.
   kForeign,
-  // Items of another snapshot than the answer states.
+  // Items are from a different snapshot than the answer states.
   kMixedSnapshots,
-  // The stated coverage is not that of the items.
+  // The stated coverage does not match the items.
   kFalseCoverage,
-  // The same item twice.
+  // The answer contains an item twice.
   kDoubled,
-  // A refusal that does not say when to come back, or says it ran.
+  // A refusal has no retry delay, or states that the request ran.
   kBadRefusal,
 };
 
@@ -35,7 +35,7 @@
       {Violation::kDoubled, "doubled"},
       {Violation::kBadRefusal, "bad_refusal"}}}};
 
-// What the caller asked.
+// The caller's request.
 struct AskedQuery {
   std::string request_id;
   // JSON text.
--- a/emulator/load/class_load.cc
+++ b/emulator/load/class_load.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-// False if the key is not known. Throws if the value is no number.
+// Returns false if the key is unknown. Throws if the value is not a number.
 bool SetField(ClassLoad& load,
               const std::string& key,
               const std::string& text) {
--- a/emulator/load/class_load.h
+++ b/emulator/load/class_load.h
@@ -1,4 +1,4 @@
-// What one class of work asks for in a load run.
+// The load of one request class in a load run.
 
 #ifndef MEDLARSPREAD_EMULATOR_LOAD_CLASS_LOAD_H_
 #define MEDLARSPREAD_EMULATOR_LOAD_CLASS_LOAD_H_
@@ -13,11 +13,11 @@
 
 struct ClassLoad {
   std::string name;
-  // Mean arrivals per second; they are a Poisson process.
+  // Mean arrivals per second of a Poisson process.
   double rate = 10.0;
   base::Duration deadline = base::Milliseconds(1000);
   bool is_at_most_once = false;
-  // What the run holds the answers against.
+  // The targets that answers are evaluated against.
   base::Duration latency_target = base::Milliseconds(100);
   double coverage_target = 1.0;
 };
--- a/emulator/load/class_report.h
+++ b/emulator/load/class_report.h
@@ -1,4 +1,4 @@
-// What became of the requests of one class in a load run.
+// Results of the requests of one class in a load run.
 
 #ifndef MEDLARSPREAD_EMULATOR_LOAD_CLASS_REPORT_H_
 #define MEDLARSPREAD_EMULATOR_LOAD_CLASS_REPORT_H_
@@ -19,14 +19,15 @@
   explicit ClassReport(ClassLoad load) : load_(std::move(load)) {}
 
   void DidAsk() { ++asked_; }
-  // A response came `latency` after the request was due to be asked.
+  // Called for a response that arrived `latency` after the request's scheduled
+  // send time.
   void DidReceive(const AskedQuery& asked,
                   const http::Response& response,
                   base::Duration latency);
-  // No response came at all.
+  // Called if no response arrived.
   void DidFail() { ++failed_; }
 
-  // Whether every request has been accounted for.
+  // Whether every request has a result.
   bool is_complete() const {
     return asked_ == answered_ + refused_ + unknown_ + rejected_ + failed_;
   }
@@ -40,8 +41,8 @@
   void Note(Violation violation) {
     ++violations_[static_cast<std::size_t>(violation)];
   }
-  // Share `share` of the answers took this or less, in milliseconds; 0 if
-  // there are none.
+  // The latency in milliseconds that a fraction `share` of the answers didn't
+  // exceed; 0 without answers.
   double Percentile(double share) const;
   double ShareOfAsked(std::int64_t count) const;
   double MeanCoverage() const;
@@ -51,7 +52,7 @@
   std::int64_t answered_ = 0;
   std::int64_t refused_ = 0;
   std::int64_t unknown_ = 0;
-  // 400, 404, 405, 408, 413 and anything unforeseen.
+  // Status 400, 404, 405, 408, 413 or any other unexpected status.
   std::int64_t rejected_ = 0;
   std::int64_t failed_ = 0;
   // Answers within the latency target, and those that met both targets.
@@ -60,7 +61,7 @@
   std::int64_t good_ = 0;
   std::int64_t after_deadline_ = 0;
   double coverage_sum_ = 0.0;
-  // Of answers only, in no order.
+  // Latencies of answers only, unordered.
   std::vector<base::Duration> latencies_;
   std::array<std::int64_t, kViolations.rows.size()> violations_{};
 };
--- a/emulator/load/load_command.cc
+++ b/emulator/load/load_command.cc
@@ -24,15 +24,15 @@
   using cxxopts::value;
   cxxopts::Options options(
       "medlarspread_emulator load",
-      "Asks at given rates and checks every answer. Classes: "
+      "Sends requests at given rates and checks every answer. Classes: "
       "name=NAME,rate=R,deadline_ms=D,at_most_once=0|1,latency_ms=L,"
-      "coverage=C; --class may be given again.");
-  options.add_options()("target", "callers' addresses",
+      "coverage=C; --class may be repeated.");
+  options.add_options()("target", "addresses of the daemons for callers",
                         value<std::vector<std::string>>())(
-      "class", "a class's load", value<std::vector<std::string>>())(
-      "seconds", "length of the run", value<double>()->default_value("10"))(
-      "seed", "seed of the random choices",
-      value<std::uint64_t>()->default_value("1"))(
+      "class", "load of a class", value<std::vector<std::string>>())(
+      "seconds", "duration of the run in seconds",
+      value<double>()->default_value("10"))(
+      "seed", "random seed", value<std::uint64_t>()->default_value("1"))(
       "threads", "traffic threads", value<int>()->default_value("2"))(
       "json", "print JSON");
   return options;
@@ -84,7 +84,8 @@
     violations += report.violations();
   }
   std::cout.flush();
-  // NOTE: an orderly end would wait for the library's idle connections.
+  // NOTE: Exits without cleanup, because an orderly shutdown would wait for the
+  // library's idle connections.
   std::_Exit(violations == 0 ? 0 : kViolated);
 }
 
--- a/emulator/load/load_command.h
+++ b/emulator/load/load_command.h
@@ -7,8 +7,8 @@
 
 namespace medlarspread::emulator {
 
-// `arguments` start with the command's name. Returns the exit status: 0 unless
-// an answer broke a promise (3) or the options are wrong (1).
+// `arguments` start with the command's name. Returns the exit status: 0, or
+// 3 if an answer violated a guarantee, or 1 if the options are invalid.
 int RunLoad(int count, char** arguments, StopSignal& stop);
 
 }  // namespace medlarspread::emulator
--- a/emulator/load/load_run.cc
+++ b/emulator/load/load_run.cc
@@ -1,4 +1,4 @@
-// Poisson arrivals, and the fate of each request.
+// Schedules Poisson arrivals and records the result of each request.
 
 #include "emulator/load/load_run.h"
 
@@ -68,8 +68,8 @@
     EndIfComplete();
     return;
   }
-  // NOTE: a request that is already due is asked at once; its latency still
-  // counts from when it was due.
+  // NOTE: An overdue request is sent at once; its latency still counts from its
+  // scheduled time.
   const base::Duration delay =
       std::max(due - clock_.Now(), base::Duration::zero());
   runner_.After(delay, [self = shared_from_this(), index, due] {
--- a/emulator/load/load_run.h
+++ b/emulator/load/load_run.h
@@ -1,5 +1,5 @@
-// An open-loop load run: requests are asked when they are due, however the
-// system fares, and latency counts from when they were due.
+// An open-loop load run: requests are sent at their scheduled times, regardless
+// of outstanding responses, and latency counts from the scheduled time.
 
 #ifndef MEDLARSPREAD_EMULATOR_LOAD_LOAD_RUN_H_
 #define MEDLARSPREAD_EMULATOR_LOAD_LOAD_RUN_H_
@@ -19,7 +19,7 @@
 namespace medlarspread::emulator {
 
 struct LoadSettings {
-  // The callers' addresses of the daemons; each request goes to one of them.
+  // The daemons' addresses for callers; each request goes to one of them.
   std::vector<std::string> targets;
   std::vector<ClassLoad> classes;
   base::Duration length = base::Milliseconds(10000);
@@ -32,14 +32,14 @@
           base::Clock clock,
           base::TaskRunner runner);
 
-  // Calls `did_end` on the runner's sequence once every request is answered or
-  // given up.
+  // Calls `did_end` on the runner's sequence once every request has been
+  // answered or has failed.
   void Start(base::Task did_end);
-  // One per class, in the order of the settings.
+  // One report per class, in the order of the settings.
   const std::vector<ClassReport>& reports() const { return reports_; }
 
  private:
-  // A response that comes even later than this after its deadline is lost.
+  // How long after its deadline a request waits for a response until it fails.
   static constexpr base::Duration kGrace = base::Milliseconds(5000);
 
   void ScheduleNext(std::size_t index, base::MonotonicTime previous_due);
@@ -53,7 +53,7 @@
   std::vector<std::unique_ptr<http::Client>> clients_;
   std::vector<ClassReport> reports_;
   base::MonotonicTime end_;
-  // Classes that have more to ask.
+  // Number of classes with requests left to send.
   int asking_ = 0;
   std::uint64_t next_query_ = 1;
   base::Task did_end_;
--- a/emulator/main.cc
+++ b/emulator/main.cc
@@ -1,5 +1,5 @@
-// The program that stands in for the systems outside this project. Its first
-// argument names the part to play.
+// Entry point of the program that emulates the systems outside this project.
+// The first argument selects the command.
 
 #include <array>
 #include <exception>
--- a/emulator/platform/call_meter.cc
+++ b/emulator/platform/call_meter.cc
@@ -1,4 +1,4 @@
-// Two token buckets and the counts per kind of call.
+// Token buckets for reads and writes, and counts per kind of call.
 
 #include "emulator/platform/call_meter.h"
 
--- a/emulator/platform/call_meter.h
+++ b/emulator/platform/call_meter.h
@@ -1,4 +1,4 @@
-// Counts the calls on the platform and refuses those above its rates.
+// Counts calls to the platform and enforces its rate limits.
 
 #ifndef MEDLARSPREAD_EMULATOR_PLATFORM_CALL_METER_H_
 #define MEDLARSPREAD_EMULATOR_PLATFORM_CALL_METER_H_
@@ -31,7 +31,7 @@
  public:
   CallMeter(CallRates rates, base::Clock clock);
 
-  // Counts the call. False if it is above the rate.
+  // Counts the call. Returns false if it exceeds the rate limit.
   bool Admit(CallKind kind);
 
   std::int64_t count(CallKind kind) const {
@@ -40,7 +40,7 @@
   std::int64_t over_rate() const { return over_rate_; }
 
  private:
-  // Tokens for one second's calls; refilled steadily.
+  // A token bucket that holds up to one second's calls, refilled continuously.
   struct Bucket {
     double rate = 0;
     double tokens = 0;
--- a/emulator/platform/key_value_store.h
+++ b/emulator/platform/key_value_store.h
@@ -32,8 +32,8 @@
 
   std::optional<store::Entry> Read(const std::string& key);
   std::vector<store::Entry> List(const std::string& prefix);
-  // `lease_id` is empty for a key that outlives its writer. kNotFound says
-  // that the lease has lapsed.
+  // `lease_id` is empty for a key without a lease. Returns kNotFound if the
+  // lease has expired.
   StoreOutcome Write(const std::string& key,
                      const std::string& value,
                      std::int64_t expected_version,
@@ -45,9 +45,9 @@
   bool EndLease(const std::string& lease_id);
 
   void Checkpoint();
-  // Puts the contents back to the checkpoint, or to nothing if there is none.
-  // With `repeats_versions` the store also hands out again the versions that
-  // it gave since: a worse restore than the service promises.
+  // Restores the last checkpoint, or empty contents if there is none. With
+  // `repeats_versions` the store also reuses the versions assigned since the
+  // checkpoint, which violates the guarantees of the service.
   void Restore(bool repeats_versions);
 
  private:
@@ -62,11 +62,11 @@
   };
   struct Contents {
     std::map<std::string, Row> rows;
-    // The last version given to any key; hence versions never repeat.
+    // The last version assigned to any key; versions are unique across keys.
     std::int64_t last_version = 0;
   };
 
-  // Drops the leases that have lapsed, with their keys.
+  // Removes expired leases and their keys.
   void Expire();
   void EraseKeysOf(const std::string& lease_id);
   std::int64_t VersionOf(const std::string& key) const;
--- a/emulator/platform/platform_command.cc
+++ b/emulator/platform/platform_command.cc
@@ -1,4 +1,4 @@
-// Options and life of the `platform` command.
+// Options and main function of the `platform` command.
 
 #include "emulator/platform/platform_command.h"
 
@@ -15,14 +15,15 @@
 namespace medlarspread::emulator {
 
 int RunPlatform(int count, char** arguments, StopSignal& stop) {
-  cxxopts::Options options("medlarspread_emulator platform",
-                           "Key-value service and VM list.");
+  cxxopts::Options options(
+      "medlarspread_emulator platform",
+      "Runs the platform's key-value service and VM list.");
   options.add_options()(
-      "address", "where to listen",
+      "address", "address to listen on",
       cxxopts::value<std::string>()->default_value("127.0.0.1:0"))(
-      "writes-per-second", "rate limit",
+      "writes-per-second", "rate limit of writes",
       cxxopts::value<double>()->default_value("400"))(
-      "reads-per-second", "rate limit",
+      "reads-per-second", "rate limit of reads",
       cxxopts::value<double>()->default_value("2000"));
   const auto parsed = options.parse(count, arguments);
   constexpr int kThreads = 2;
@@ -51,7 +52,8 @@
                   .failure_domain = "",
                   .seed = 0});
   stop.Wait();
-  // NOTE: an orderly close would wait for the calls that an outage holds.
+  // NOTE: Exits without cleanup, because an orderly shutdown would wait for
+  // calls that hang in a simulated outage.
   std::_Exit(0);
 }
 
--- a/emulator/platform/platform_command.h
+++ b/emulator/platform/platform_command.h
@@ -1,4 +1,4 @@
-// The `platform` command: the platform's stand-in as a process.
+// The `platform` command: runs the emulated platform as a process.
 
 #ifndef MEDLARSPREAD_EMULATOR_PLATFORM_PLATFORM_COMMAND_H_
 #define MEDLARSPREAD_EMULATOR_PLATFORM_PLATFORM_COMMAND_H_
--- a/emulator/platform/platform_control.cc
+++ b/emulator/platform/platform_control.cc
@@ -1,4 +1,4 @@
-// The VM list of the platform's service and its control calls.
+// The VM list and the control calls of the platform's service.
 
 #include "emulator/platform/platform_service.h"
 
@@ -61,7 +61,7 @@
   return json;
 }
 
-// Puts the row in place of the one of that name, or takes that one out.
+// Adds the row or replaces the one with its name, or removes that one.
 void MergeRow(std::vector<Vm>& vms, const value& json) {
   const std::string name = json.at("name").as_string();
   std::erase_if(vms, [&name](const Vm& vm) { return vm.name == name; });
@@ -153,7 +153,7 @@
                                    {},
                                    R"({"error":"outage"})",
                                    "application/json"};
-  // Calls held by an outage that hangs fail once it ends or changes.
+  // Calls held by a hanging outage fail once the outage ends or changes.
   if (faults_.outage != Outage::kHang) {
     for (const http::Responder& respond : std::exchange(held_, {})) {
       respond(unavailable);
--- a/emulator/platform/platform_service.cc
+++ b/emulator/platform/platform_service.cc
@@ -1,4 +1,4 @@
-// The key-value calls of the platform's HTTP service.
+// Implements the key-value calls of the platform's HTTP service.
 
 #include "emulator/platform/platform_service.h"
 
@@ -37,7 +37,7 @@
   return json;
 }
 
-// What kind of call the request is; nothing for a path that is not served.
+// Returns the kind of call, or nothing for an unknown path.
 std::optional<CallKind> ClassifyCall(const http::Request& request) {
   if (request.path.starts_with(kKeyPath)) {
     if (request.method == "GET") {
@@ -64,7 +64,7 @@
   return request.path.substr(kKeyPath.size());
 }
 
-// The whole number in parameter `name`, or nothing.
+// Returns the integer in parameter `name`, or nothing.
 std::optional<std::int64_t> NumberOf(const http::Request& request,
                                      const std::string& name) {
   const auto parameter = request.parameters.find(name);
--- a/emulator/platform/platform_service.h
+++ b/emulator/platform/platform_service.h
@@ -1,14 +1,15 @@
-// The platform's HTTP service: key-value calls, the VM list and, under
-// /control, what tests do to it. All state lives on one sequence.
+// The emulated platform's HTTP service: key-value calls, the VM list and, under
+// /control, calls that tests use to inject faults. All state is accessed on one
+// sequence.
 //
-// Control calls (never counted, never failed):
+// Control calls (not counted and not affected by faults):
 //   PUT  /control/vms {"vms":[..],"lag_ms"}   replaces the VM list
 //   POST /control/vms {"vms":[..],"lag_ms"}   adds or replaces rows by name;
 //                                             state "gone" removes a row
 //   POST /control/faults {"outage":"none"|"refuse"|"hang","delay_ms",
 //        "reply_delay_ms","lose_write_replies","lost_reply":"hang"|"error",
 //        "fail_writes","key_prefix",
-//        "outage_spares_vms"}                 sets the fields that are given
+//        "outage_spares_vms"}                 sets the fields present
 //   POST /control/checkpoint, POST /control/restore {"repeats_versions"}
 //   GET  /control/counts
 
@@ -41,16 +42,17 @@
 
 struct PlatformFaults {
   Outage outage = Outage::kNone;
-  // The outage is of the key-value service alone; the VM list stays up.
+  // The outage affects the key-value service only; the VM list stays available.
   bool outage_spares_vms = false;
-  // Passes before the call takes effect, and again before its reply.
+  // Delay before a call takes effect, and between its effect and its reply.
   base::Duration delay{};
   base::Duration reply_delay{};
-  // So many writes to keys with `key_prefix` take effect without a reply.
+  // This many next writes to keys with `key_prefix` take effect, but their
+  // replies are lost.
   int lose_write_replies = 0;
   LostReply lost_reply = LostReply::kHang;
-  // So many writes to such keys fail without effect; the reply is the same 500
-  // as for a lost reply.
+  // This many next writes to such keys fail without effect, with the same 500
+  // reply as for LostReply::kError.
   int fail_writes = 0;
   std::string key_prefix;
 };
@@ -73,7 +75,7 @@
 
   void Handle(const http::Request& request, const http::Responder& respond);
   void Execute(const http::Request& request, const http::Responder& respond);
-  // Answers a write as the faults in force ask for.
+  // Executes a write, subject to the active faults.
   void ExecuteWrite(const http::Request& request,
                     const http::Responder& respond);
   void ReplyLater(const http::Responder& respond, http::Response response);
@@ -100,7 +102,7 @@
   PlatformFaults faults_;
   Lagged<std::vector<store::Vm>> vms_{{}};
   WatchList watches_;
-  // Calls that came during an outage that hangs; failed when it ends.
+  // Calls received during a hanging outage; they fail when it ends.
   std::vector<http::Responder> held_;
 };
 
--- a/emulator/support/arrival_record.cc
+++ b/emulator/support/arrival_record.cc
@@ -1,4 +1,4 @@
-// Counts in sliding windows.
+// Counts arrivals in sliding windows.
 
 #include "emulator/support/arrival_record.h"
 
--- a/emulator/support/arrival_record.h
+++ b/emulator/support/arrival_record.h
@@ -1,9 +1,9 @@
-// What leaves saw of requests, to be checked against the bound on sends beyond
-// the first of each request.
+// Records the arrivals of requests at leaves and checks them against the bound
+// on extra sends, which are the sends after the first of each request.
 //
-// Every arrival counts, whoever sent it, whatever paid for it, and also where
-// the leaf rejects it or it was meant for another leaf: this is the leaves'
-// side, which knows nothing of the senders' accounts.
+// Every arrival counts, regardless of its sender and the budget that it was
+// charged to, also if the leaf rejects it or it was meant for another leaf:
+// leaves can't see the senders' accounting.
 
 #ifndef MEDLARSPREAD_EMULATOR_SUPPORT_ARRIVAL_RECORD_H_
 #define MEDLARSPREAD_EMULATOR_SUPPORT_ARRIVAL_RECORD_H_
@@ -20,16 +20,17 @@
 
 class ArrivalRecord {
  public:
-  // A request reached a leaf of the collection. Calls come in the order of
-  // time. True if it is the first arrival of the request there.
+  // Records that a request reached a leaf of the collection. Calls must be in
+  // chronological order. Returns true if it is the first arrival of the request
+  // at the collection.
   bool DidArrive(const std::string& request_id,
                  const std::string& collection,
                  base::MonotonicTime at);
 
-  // The window of each collection that is furthest beyond the bound, in words;
-  // empty if none is. A window may begin at any arrival. Its requests are those
-  // that arrived in it, in the window before it, or in the one half a window
-  // before it, whichever are most.
+  // Describes, for each collection that exceeds the bound, the window with the
+  // largest excess. A window may begin at any arrival. Its number of requests
+  // is the maximum of the arrivals in it, in the preceding window and in the
+  // window that starts half a window earlier.
   std::vector<std::string> FindExcess(
       const admission::ExtraSendBound& bound) const;
 
@@ -38,12 +39,12 @@
 
   struct Row {
     std::unordered_set<std::string> requests;
-    // Invariant: both are in order.
+    // Invariant: both are sorted.
     Times firsts;
     Times extras;
   };
 
-  // How many of `times` are in [begin, end).
+  // Returns the number of `times` in [begin, end).
   static std::ptrdiff_t CountIn(const Times& times,
                                 base::MonotonicTime begin,
                                 base::MonotonicTime end);
--- a/emulator/support/lagged.h
+++ b/emulator/support/lagged.h
@@ -1,5 +1,5 @@
-// A value whose changes become visible to readers only some time after they
-// were made, as the platform's lists and the leaves' health pages do.
+// A value whose changes become visible to readers with a delay, like the
+// platform's VM list and the leaves' health pages.
 
 #ifndef MEDLARSPREAD_EMULATOR_SUPPORT_LAGGED_H_
 #define MEDLARSPREAD_EMULATOR_SUPPORT_LAGGED_H_
@@ -20,7 +20,7 @@
     pending_.push_back({visible_at, std::move(value)});
   }
 
-  // What a reader sees at `now`.
+  // Returns the value visible at `now`.
   const T& Read(base::MonotonicTime now) {
     while (!pending_.empty() && pending_.front().visible_at <= now) {
       visible_ = std::move(pending_.front().value);
@@ -29,7 +29,7 @@
     return visible_;
   }
 
-  // What was set last, visible or not.
+  // Returns the last value set, visible or not.
   const T& latest() const {
     return pending_.empty() ? visible_ : pending_.back().value;
   }
@@ -40,7 +40,7 @@
     T value;
   };
   T visible_;
-  // In the order in which the changes were made.
+  // Changes that aren't visible yet, in the order in which they were made.
   std::deque<Change> pending_;
 };
 
--- a/emulator/support/ready_line.h
+++ b/emulator/support/ready_line.h
@@ -1,5 +1,5 @@
-// The line of JSON that a program prints once it can be called, so that
-// whoever started it learns its real address.
+// The JSON line that a program prints once it accepts calls. It gives the
+// actual address to the process that started it.
 
 #ifndef MEDLARSPREAD_EMULATOR_SUPPORT_READY_LINE_H_
 #define MEDLARSPREAD_EMULATOR_SUPPORT_READY_LINE_H_
--- a/tests/emulator/answer_checker_test.cc
+++ b/tests/emulator/answer_checker_test.cc
@@ -1,4 +1,4 @@
-// The checker of answers must see each broken promise.
+// Tests that the answer checker detects each kind of violation.
 
 #include <gtest/gtest.h>
 
--- a/tests/emulator/arrival_record_test.cc
+++ b/tests/emulator/arrival_record_test.cc
@@ -1,4 +1,4 @@
-// The bound on repeats as leaves see it.
+// Tests the check of the bound on extra sends, based on arrivals at leaves.
 
 #include "emulator/support/arrival_record.h"
 
@@ -28,7 +28,7 @@
   ArrivalRecord record;
   record.DidArrive("a", "c0", At(0));
   record.DidArrive("b", "c0", At(0));
-  // Two are borne in any second: three are within one, from 700 on.
+  // The bound allows two per second. The window from 700 on has three.
   record.DidArrive("a", "c0", At(700));
   record.DidArrive("a", "c0", At(1'100));
   EXPECT_TRUE(record.FindExcess(kBound).empty());
@@ -45,7 +45,7 @@
     record.DidArrive("a", "c0", At(950));
   }
   EXPECT_TRUE(record.FindExcess(kBound).empty());
-  // Of two windows before no request counts.
+  // Requests from two windows earlier don't count.
   record.DidArrive("a", "c0", At(3'000));
   EXPECT_TRUE(record.FindExcess(kBound).empty());
   record.DidArrive("a", "c0", At(3'001));
--- a/tests/emulator/key_value_store_test.cc
+++ b/tests/emulator/key_value_store_test.cc
@@ -1,4 +1,5 @@
-// The platform's stand-in: versions, leases, checkpoints, rates and lag.
+// Tests of the emulated platform: versions, leases, checkpoints, rate limits
+// and delayed visibility.
 
 #include <gtest/gtest.h>
 
--- a/tests/emulator/platform_service_test.cc
+++ b/tests/emulator/platform_service_test.cc
@@ -1,5 +1,5 @@
-// The product's own clients against the platform's stand-in, over loopback:
-// both sides must mean the same by docs/INTERFACES.md, under faults too.
+// Tests the product's clients against the emulated platform over loopback: both
+// sides must implement docs/INTERFACES.md consistently, also under faults.
 
 #include <future>
 
@@ -20,7 +20,7 @@
 class PlatformServiceTest : public testing::Test {
  protected:
   void SetUp() override { ASSERT_TRUE(listener_.Open().is_ok()); }
-  // Lets the calls go that a fault holds back.
+  // Releases the calls that a fault holds.
   void TearDown() override { Control("faults", R"({"outage":"none"})"); }
 
   void Control(const std::string& call, const std::string& body) {
@@ -37,7 +37,7 @@
     EXPECT_TRUE(done.get_future().get());
   }
 
-  // Waits for the result of a call that reports through its last argument.
+  // Waits for the result of a call that takes a callback as last argument.
   template <typename T, typename Call>
   static base::Result<T> Await(Call call) {
     auto promise = std::make_shared<std::promise<base::Result<T>>>();
@@ -133,7 +133,8 @@
   const auto hung = Swap("x", store::kAbsent, kShort);
   EXPECT_EQ(hung.error().code, base::ErrorCode::kUnknownOutcome);
   Control("faults", R"({"outage":"none"})");
-  EXPECT_FALSE(Read().value()) << "an outage that hangs makes no write";
+  EXPECT_FALSE(Read().value())
+      << "a write during a hanging outage must have no effect";
 }
 
 TEST_F(PlatformServiceTest, MergesAndListsVms) {
--- a/tests/emulator/process_test.cc
+++ b/tests/emulator/process_test.cc
@@ -1,4 +1,4 @@
-// The emulator's programs as processes, met by the load tool.
+// Tests the emulator's commands as processes, with the load command as client.
 
 #include <csignal>
 
