--- a/emulator/hosted/hosted_leaf.cc
+++ b/emulator/hosted/hosted_leaf.cc
@@ -80,7 +80,7 @@
     respond(MakeRefusal(Status::misdirected_request));
     return [] {};
   }
-  if (mood_ == LeafMood::kShed) {
+  if (behavior_ == LeafBehavior::kShed) {
     respond(MakeRefusal(Status::service_unavailable));
     return [] {};
   }
@@ -96,8 +96,8 @@
     return [] {};
   }
   base::Timer timer;
-  if (mood_ != LeafMood::kMute) {
-    const bool has_proof = mood_ != LeafMood::kNoProof;
+  if (behavior_ != LeafBehavior::kMute) {
+    const bool has_proof = behavior_ != LeafBehavior::kNoProof;
     timer = runner_.After(work_, [this, request_id, has_proof, respond] {
       respond(MakeAnswer(request_id, has_proof));
     });
--- a/emulator/hosted/hosted_leaf.h
+++ b/emulator/hosted/hosted_leaf.h
@@ -25,7 +25,7 @@
 inline constexpr std::string_view kDeadlyWord = "deadly";
 
 // How the leaf responds to requests.
-enum class LeafMood {
+enum class LeafBehavior {
   kAnswer,
   // Refuses the request without running it.
   kShed,
@@ -54,7 +54,7 @@
   // Sets the start time in the leaf's entries, as Unix time; by default the
   // entries have none.
   void set_started(std::int64_t wall_ms) { started_wall_ms_ = wall_ms; }
-  void set_mood(LeafMood mood) { mood_ = mood; }
+  void set_behavior(LeafBehavior behavior) { behavior_ = behavior; }
   void set_work(base::Duration work) { work_ = work; }
   // Sets a callback for when a request with kDeadlyWord in its target ends the
   // leaf. It is called on the thread of the context.
@@ -86,7 +86,7 @@
   std::shared_ptr<http1::CallerListener> listener_;
   std::function<void()> did_end_;
   std::function<void(const std::string&)> did_arrive_;
-  std::atomic<LeafMood> mood_ = LeafMood::kAnswer;
+  std::atomic<LeafBehavior> behavior_ = LeafBehavior::kAnswer;
   std::atomic<base::Duration> work_ = base::Milliseconds(2);
   std::atomic<std::int64_t> started_wall_ms_ = 0;
   // Number of entries made so far.
--- a/emulator/leaf/leaf_control.cc
+++ b/emulator/leaf/leaf_control.cc
@@ -80,7 +80,7 @@
   if (json.has_field("faults")) {
     // Respond to the requests whose replies were withheld, so that their
     // connections are released. Their callers have timed out by now.
-    for (const http::Responder& respond : std::exchange(lost_, {})) {
+    for (const http::Responder& respond : std::exchange(withheld_, {})) {
       respond(ErrorReply(http::kGatewayTimeout, "deadline", /*ran=*/true, {},
                          StateName()));
     }
@@ -89,7 +89,7 @@
     }
   }
   if (json.has_field("refuse")) {
-    refuse_ = json.at("refuse").as_string();
+    forced_refusal_ = json.at("refuse").as_string();
   }
   if (json.has_field("refuses_when_draining")) {
     refuses_when_draining_ = json.at("refuses_when_draining").as_bool();
--- a/emulator/leaf/leaf_service.cc
+++ b/emulator/leaf/leaf_service.cc
@@ -80,10 +80,10 @@
 }
 
 base::Duration LeafService::ArrivalDelay() {
-  ++in_hand_;
+  ++in_flight_;
   double delay_ms = settings_.delay_ms;
-  if (in_hand_ > connections_opened_) {
-    connections_opened_ = in_hand_;
+  if (in_flight_ > connections_opened_) {
+    connections_opened_ = in_flight_;
     delay_ms += settings_.connect_ms;
   }
   return FromMilliseconds(delay_ms);
@@ -93,7 +93,7 @@
                               const http::Responder& respond) {
   const http::Responder reply = [self = shared_from_this(),
                                  respond](http::Response response) {
-    --self->in_hand_;
+    --self->in_flight_;
     self->ReplyLater(respond, std::move(response));
   };
   const auto query = ParseLeafQuery(body);
@@ -116,13 +116,13 @@
     return ErrorReply(http::kServiceUnavailable, error, /*ran=*/false,
                       settings_.retry_after, StateName());
   };
-  if (!refuse_.empty()) {
-    return refuse(refuse_);
+  if (!forced_refusal_.empty()) {
+    return refuse(forced_refusal_);
   }
   if (health_.state == LeafState::kDraining && refuses_when_draining_) {
     return refuse("draining");
   }
-  if (in_hand_ > settings_.connections) {
+  if (in_flight_ > settings_.connections) {
     return refuse("shed");
   }
   if (!Holds(query)) {
@@ -190,7 +190,7 @@
   answer.load = Load();
   const ReplyFault fault = fault_shares_.Choose(random_.Unit());
   if (fault == ReplyFault::kLost) {
-    lost_.push_back(respond);
+    withheld_.push_back(respond);
     return;
   }
   const http::Response response{http::kOk,
--- a/emulator/leaf/leaf_service.h
+++ b/emulator/leaf/leaf_service.h
@@ -92,16 +92,16 @@
   bool refuses_when_draining_ = true;
   double slow_factor_ = 1.0;
   // If not empty, every query is refused with this error.
-  std::string refuse_;
+  std::string forced_refusal_;
   ReplyFaultShares fault_shares_;
   base::Duration late_ = base::Milliseconds(500);
   std::string previous_answer_;
   // Requests whose replies are withheld, which keeps their connections open.
-  std::vector<http::Responder> lost_;
+  std::vector<http::Responder> withheld_;
 
   // The number of unanswered queries, and its maximum so far. Callers keep that
   // many connections open and reuse them.
-  int in_hand_ = 0;
+  int in_flight_ = 0;
   int connections_opened_ = 0;
 };
 
--- a/emulator/load/class_report.cc
+++ b/emulator/load/class_report.cc
@@ -24,7 +24,7 @@
   if (response.status == http::kServiceUnavailable ||
       response.status == http::kTooManyRequests) {
     ++refused_;
-    Note(CheckRefusal(asked, response.body));
+    CountViolation(CheckRefusal(asked, response.body));
     return;
   }
   if (response.status != http::kOk) {
@@ -33,7 +33,7 @@
   }
   ++answered_;
   const CheckedAnswer checked = CheckAnswer(asked, response.body);
-  Note(checked.violation);
+  CountViolation(checked.violation);
   coverage_sum_ += checked.coverage;
   latencies_.push_back(latency);
   const bool is_in_time = latency <= load_.latency_target;
--- a/emulator/load/class_report.h
+++ b/emulator/load/class_report.h
@@ -38,7 +38,7 @@
   std::string ToJson() const;
 
  private:
-  void Note(Violation violation) {
+  void CountViolation(Violation violation) {
     ++violations_[static_cast<std::size_t>(violation)];
   }
   // The latency in milliseconds that a fraction `share` of the answers didn't
--- a/emulator/load/load_run.cc
+++ b/emulator/load/load_run.cc
@@ -49,7 +49,7 @@
   runner_.Post([self = shared_from_this()] {
     const base::MonotonicTime start = self->clock_.Now();
     self->end_ = start + self->settings_.length;
-    self->asking_ = static_cast<int>(self->reports_.size());
+    self->active_classes_ = static_cast<int>(self->reports_.size());
     for (std::size_t index = 0; index < self->reports_.size(); ++index) {
       self->ScheduleNext(index, start);
     }
@@ -64,7 +64,7 @@
       previous_due + std::chrono::duration_cast<base::Duration>(
                          std::chrono::duration<double>(gap_seconds));
   if (due >= end_) {
-    --asking_;
+    --active_classes_;
     EndIfComplete();
     return;
   }
@@ -73,12 +73,12 @@
   const base::Duration delay =
       std::max(due - clock_.Now(), base::Duration::zero());
   runner_.After(delay, [self = shared_from_this(), index, due] {
-    self->Ask(index, due);
+    self->SendRequest(index, due);
     self->ScheduleNext(index, due);
   });
 }
 
-void LoadRun::Ask(std::size_t index, base::MonotonicTime due) {
+void LoadRun::SendRequest(std::size_t index, base::MonotonicTime due) {
   const ClassLoad& load = settings_.classes[index];
   const AskedQuery asked{std::to_string(clock_.WallMilliseconds()) + "-" +
                              random_.Hexadecimal(kIdentifierDigits),
@@ -104,7 +104,7 @@
 }
 
 void LoadRun::EndIfComplete() {
-  if (asking_ == 0 && did_end_ &&
+  if (active_classes_ == 0 && did_end_ &&
       std::ranges::all_of(reports_, &ClassReport::is_complete)) {
     std::exchange(did_end_, nullptr)();
   }
--- a/emulator/load/load_run.h
+++ b/emulator/load/load_run.h
@@ -43,7 +43,7 @@
   static constexpr base::Duration kGrace = base::Milliseconds(5000);
 
   void ScheduleNext(std::size_t index, base::MonotonicTime previous_due);
-  void Ask(std::size_t index, base::MonotonicTime due);
+  void SendRequest(std::size_t index, base::MonotonicTime due);
   void EndIfComplete();
 
   const LoadSettings settings_;
@@ -54,7 +54,7 @@
   std::vector<ClassReport> reports_;
   base::MonotonicTime end_;
   // Number of classes with requests left to send.
-  int asking_ = 0;
+  int active_classes_ = 0;
   std::uint64_t next_query_ = 1;
   base::Task did_end_;
 };
--- a/emulator/platform/platform_control.cc
+++ b/emulator/platform/platform_control.cc
@@ -155,7 +155,7 @@
                                    "application/json"};
   // Calls held by a hanging outage fail once the outage ends or changes.
   if (faults_.outage != Outage::kHang) {
-    for (const http::Responder& respond : std::exchange(held_, {})) {
+    for (const http::Responder& respond : std::exchange(held_calls_, {})) {
       respond(unavailable);
     }
   }
@@ -165,7 +165,7 @@
   for (const auto& watch : std::exchange(watches_, {})) {
     watch->timeout.Cancel();
     if (faults_.outage == Outage::kHang) {
-      held_.push_back(watch->respond);
+      held_calls_.push_back(watch->respond);
     } else {
       watch->respond(unavailable);
     }
--- a/emulator/platform/platform_service.cc
+++ b/emulator/platform/platform_service.cc
@@ -138,7 +138,7 @@
   }
   const bool is_spared = *kind == CallKind::kVms && faults_.outage_spares_vms;
   if (faults_.outage == Outage::kHang && !is_spared) {
-    held_.push_back(respond);
+    held_calls_.push_back(respond);
     return;
   }
   if (faults_.outage == Outage::kRefuse && !is_spared) {
@@ -191,7 +191,7 @@
   }
   --faults_.lose_write_replies;
   if (faults_.lost_reply == LostReply::kHang) {
-    held_.push_back(respond);
+    held_calls_.push_back(respond);
   } else {
     respond(ReplyError(http::kInternalError, "internal"));
   }
--- a/emulator/platform/platform_service.h
+++ b/emulator/platform/platform_service.h
@@ -103,7 +103,7 @@
   Lagged<std::vector<store::Vm>> vms_{{}};
   WatchList watches_;
   // Calls received during a hanging outage; they fail when it ends.
-  std::vector<http::Responder> held_;
+  std::vector<http::Responder> held_calls_;
 };
 
 }  // namespace medlarspread::emulator
--- a/tests/failure/opaque_test.cc
+++ b/tests/failure/opaque_test.cc
@@ -20,7 +20,7 @@
 
 using emulator::HostedLeaf;
 using emulator::HostedStore;
-using emulator::LeafMood;
+using emulator::LeafBehavior;
 
 constexpr int kNotFound = 404;
 constexpr int kBadGateway = 502;
@@ -245,12 +245,12 @@
   const Daemon daemon = Start("vm1");
   Configure(3);
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
-  leaves_["s1-a"]->set_mood(LeafMood::kShed);
-  leaves_["s1-b"]->set_mood(LeafMood::kShed);
+  leaves_["s1-a"]->set_behavior(LeafBehavior::kShed);
+  leaves_["s1-b"]->set_behavior(LeafBehavior::kShed);
   EXPECT_EQ(AwaitCall(MakeCall(daemon, "/pay/1", "p1")).status, kUnavailable);
   EXPECT_EQ(runs("p1"), 0);
-  leaves_["s1-a"]->set_mood(LeafMood::kMute);
-  leaves_["s1-b"]->set_mood(LeafMood::kMute);
+  leaves_["s1-a"]->set_behavior(LeafBehavior::kMute);
+  leaves_["s1-b"]->set_behavior(LeafBehavior::kMute);
   const auto status = AwaitCall(MakeCall(daemon, "/pay/1", "p2")).status;
   EXPECT_TRUE(status == kBadGateway || status == kGatewayTimeout) << status;
   EXPECT_LE(runs("p2"), 1);
@@ -260,7 +260,7 @@
   const Daemon daemon = Start("vm1");
   Configure(3);
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
-  leaves_["s2-a"]->set_mood(LeafMood::kMute);
+  leaves_["s2-a"]->set_behavior(LeafBehavior::kMute);
   const auto answer = AwaitCall(MakeCall(daemon, "/all/1", "m"));
   EXPECT_EQ(answer.status, http::kOk);
   EXPECT_EQ(answer.body, "s3..............s2..............");
@@ -271,8 +271,8 @@
   const Daemon daemon = Start("vm1");
   Configure(3);
   ASSERT_TRUE(AwaitReadiness(daemon, http::kOk));
-  leaves_["s1-a"]->set_mood(LeafMood::kMute);
-  leaves_["s1-b"]->set_mood(LeafMood::kMute);
+  leaves_["s1-a"]->set_behavior(LeafBehavior::kMute);
+  leaves_["s1-b"]->set_behavior(LeafBehavior::kMute);
   boost::asio::io_context context;
   boost::asio::ip::tcp::socket socket(context);
   socket.connect(http1::ParseEndpoint(daemon.caller).value());
@@ -431,7 +431,7 @@
     EXPECT_EQ(leaves_["s1-a"]->runs(), before);
   }
   Announce("s1-a", "ready");
-  leaves_["s1-b"]->set_mood(LeafMood::kShed);
+  leaves_["s1-b"]->set_behavior(LeafBehavior::kShed);
   EXPECT_TRUE(WaitUntil([&] {
     return AwaitCall(MakeCall(daemon, "/pay/1", "b")).status == http::kOk;
   }));
@@ -451,7 +451,7 @@
   leaves_["s1-a"] = std::make_unique<HostedLeaf>(context_, "s1-a", "s1", "n1");
   leaves_["s1-a"]->set_started(2'000);
   Announce("s1-a", "ready");
-  leaves_["s1-b"]->set_mood(LeafMood::kShed);
+  leaves_["s1-b"]->set_behavior(LeafBehavior::kShed);
   ASSERT_TRUE(WaitUntil([&] {
     (void)AwaitCall(MakeCall(daemon, "/pay/1", "b"));
     return leaves_["s1-a"]->runs() > 0;
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -31,7 +31,7 @@
 
 using emulator::HostedLeaf;
 using emulator::HostedStore;
-using emulator::LeafMood;
+using emulator::LeafBehavior;
 
 constexpr int kHttpVersion = 11;
 constexpr base::Duration kStep = base::Milliseconds(10);
@@ -423,10 +423,11 @@
     }
     case 1:
     case 2: {
-      constexpr LeafMood kMoods[] = {LeafMood::kShed, LeafMood::kMute,
-                                     LeafMood::kNoProof};
-      leaf.leaf->set_mood(kMoods[Pick(3)]);
-      Later(length, [&leaf] { leaf.leaf->set_mood(LeafMood::kAnswer); });
+      constexpr LeafBehavior kMoods[] = {
+          LeafBehavior::kShed, LeafBehavior::kMute, LeafBehavior::kNoProof};
+      leaf.leaf->set_behavior(kMoods[Pick(3)]);
+      Later(length,
+            [&leaf] { leaf.leaf->set_behavior(LeafBehavior::kAnswer); });
       return;
     }
     default: {
