--- a/emulator/fleet/fleet_command.cc
+++ b/emulator/fleet/fleet_command.cc
@@ -1,4 +1,4 @@
-// Options, runs and the table of the fleet command.
+// Options, runs and the result table of the fleet command.
 
 #include "emulator/fleet/fleet_command.h"
 
@@ -20,31 +20,34 @@
 constexpr int kUsageError = 2;
 
 struct FleetOptions {
-  // Empty for all patterns.
+  // The pattern to run; empty for all patterns.
   std::string pattern;
   std::uint64_t first_seed = 1;
   int seeds = 1;
   bool by_second = false;
-  // Play plans drawn from the seeds instead of patterns.
+  // Run random plans generated from the seeds instead of patterns.
   bool is_drawn = false;
   base::Mechanism without = base::Mechanism::kNothing;
 };
 
 std::optional<FleetOptions> ParseOptions(int count, char** arguments) {
-  cxxopts::Options options("medlarspread_emulator fleet",
-                           "Plays load patterns of a fleet in virtual time.");
+  cxxopts::Options options(
+      "medlarspread_emulator fleet",
+      "Simulates load patterns of a fleet in virtual time.");
   FleetOptions parsed;
   auto add = options.add_options();
-  add("pattern", "one pattern; all without it", cxxopts::value(parsed.pattern));
+  add("pattern", "the pattern to run; default: all",
+      cxxopts::value(parsed.pattern));
   add("seed", "the first seed", cxxopts::value(parsed.first_seed));
-  add("seeds", "how many seeds", cxxopts::value(parsed.seeds));
-  add("by-second", "a row for each second", cxxopts::value(parsed.by_second));
-  add("drawn", "plans drawn from the seeds instead of patterns",
+  add("seeds", "number of seeds", cxxopts::value(parsed.seeds));
+  add("by-second", "print a row for each second",
+      cxxopts::value(parsed.by_second));
+  add("drawn", "run random plans generated from the seeds instead of patterns",
       cxxopts::value(parsed.is_drawn));
   std::string without = "nothing";
-  add("without", "a mechanism that all daemons leave out",
+  add("without", "the mechanism to disable in all daemons",
       cxxopts::value(without));
-  add("help", "this text");
+  add("help", "print this help");
   try {
     const auto result = options.parse(count, arguments);
     if (result.count("help") > 0) {
@@ -95,13 +98,13 @@
               Percentile(counts.latencies, 99.0));
 }
 
-// Plays one plan; returns the counts of its seconds of interest.
-CallerCounts Play(const std::string& name,
-                  const FleetPlan& plan,
-                  int first,
-                  int last,
-                  bool by_second,
-                  bool& is_sound) {
+// Runs one plan; returns the counts of its evaluated seconds.
+CallerCounts RunPlan(const std::string& name,
+                     const FleetPlan& plan,
+                     int first,
+                     int last,
+                     bool by_second,
+                     bool& has_passed) {
   const auto began = std::chrono::steady_clock::now();
   const FleetReport report = VirtualFleet(plan).Run();
   const std::chrono::duration<double> took =
@@ -126,7 +129,7 @@
   }
   for (const std::string& violation : report.violations) {
     std::printf("    VIOLATION: %s\n", violation.c_str());
-    is_sound = false;
+    has_passed = false;
   }
   return counts;
 }
@@ -138,7 +141,7 @@
   if (!options) {
     return kUsageError;
   }
-  bool is_sound = true;
+  bool has_passed = true;
   PrintHead();
   const auto last_seed =
       options->first_seed + static_cast<std::uint64_t>(options->seeds);
@@ -147,10 +150,10 @@
     for (auto seed = options->first_seed; seed < last_seed; ++seed) {
       FleetPlan plan = DrawPlan(seed);
       plan.without = options->without;
-      all += Play("drawn", plan, 2, 14, options->by_second, is_sound);
+      all += RunPlan("drawn", plan, 2, 14, options->by_second, has_passed);
     }
     PrintRow("drawn, all seeds", all);
-    return is_sound ? 0 : 1;
+    return has_passed ? 0 : 1;
   }
   for (const Pattern& pattern : Patterns()) {
     if (!options->pattern.empty() && options->pattern != pattern.name) {
@@ -160,12 +163,12 @@
     for (auto seed = options->first_seed; seed < last_seed; ++seed) {
       FleetPlan plan = pattern.make(seed);
       plan.without = options->without;
-      all += Play(std::string(pattern.name), plan, pattern.first_second,
-                  pattern.last_second, options->by_second, is_sound);
+      all += RunPlan(std::string(pattern.name), plan, pattern.first_second,
+                     pattern.last_second, options->by_second, has_passed);
     }
     PrintRow(std::string(pattern.name) + ", all seeds", all);
   }
-  return is_sound ? 0 : 1;
+  return has_passed ? 0 : 1;
 }
 
 }  // namespace medlarspread::emulator
--- a/emulator/leaf/leaf_control.cc
+++ b/emulator/leaf/leaf_control.cc
@@ -1,4 +1,4 @@
-// The pages and control calls of a leaf's HTTP service.
+// Health and load pages and control calls of a leaf's HTTP service.
 
 #include "emulator/leaf/leaf_service.h"
 
@@ -78,8 +78,9 @@
     run_log_.SetDraining(*state == LeafState::kDraining);
   }
   if (json.has_field("faults")) {
-    // The callers gave up on these long ago; their connections end now.
-    for (const http::Responder& respond : std::exchange(lost_, {})) {
+    // Respond to the requests whose replies were withheld, so that their
+    // connections are released. Their callers have timed out by now.
+    for (const http::Responder& respond : std::exchange(withheld_, {})) {
       respond(ErrorReply(http::kGatewayTimeout, "deadline", /*ran=*/true, {},
                          StateName()));
     }
@@ -88,7 +89,7 @@
     }
   }
   if (json.has_field("refuse")) {
-    refuse_ = json.at("refuse").as_string();
+    forced_refusal_ = json.at("refuse").as_string();
   }
   if (json.has_field("refuses_when_draining")) {
     refuses_when_draining_ = json.at("refuses_when_draining").as_bool();
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -32,7 +32,7 @@
 
 using emulator::HostedLeaf;
 using emulator::HostedStore;
-using emulator::LeafMood;
+using emulator::LeafBehavior;
 
 constexpr int kHttpVersion = 11;
 constexpr base::Duration kStep = base::Milliseconds(10);
@@ -442,10 +442,11 @@
     }
     case 1:
     case 2: {
-      constexpr LeafMood kMoods[] = {LeafMood::kShed, LeafMood::kMute,
-                                     LeafMood::kNoProof};
-      leaf.leaf->set_mood(kMoods[DrawBelow(3)]);
-      RunAfter(length, [&leaf] { leaf.leaf->set_mood(LeafMood::kAnswer); });
+      constexpr LeafBehavior kMoods[] = {
+          LeafBehavior::kShed, LeafBehavior::kMute, LeafBehavior::kNoProof};
+      leaf.leaf->set_behavior(kMoods[DrawBelow(3)]);
+      RunAfter(length,
+               [&leaf] { leaf.leaf->set_behavior(LeafBehavior::kAnswer); });
       return;
     }
     default: {
