--- a/src/cli/admin_client.cc
+++ b/src/cli/admin_client.cc
@@ -1,4 +1,4 @@
-// Options and headers of calls to the administration API.
+// Options, authentication and requests of AdminClient.
 
 #include "src/cli/admin_client.h"
 
@@ -13,11 +13,12 @@
 
 constexpr const char* kAddressVariable = "MEDLARSPREAD_ADDRESS";
 constexpr const char* kTokenVariable = "MEDLARSPREAD_TOKEN";
-// Longer than a daemon takes at most to settle a change.
+// In milliseconds. Longer than the longest time in which a daemon completes a
+// change.
 constexpr const char* kDefaultTimeout = "8000";
 constexpr int kMaxTimeoutMilliseconds = 600000;
 
-// The option if given, else the environment variable.
+// Returns the option if given, else the environment variable, else "".
 std::string Find(const Environment& environment,
                  const cxxopts::ParseResult& arguments,
                  const char* option,
@@ -39,7 +40,7 @@
       "The operators' token (better: set MEDLARSPREAD_TOKEN, as other users of "
       "the VM can see arguments)",
       cxxopts::value<std::string>(),
-      "TOKEN")("timeout-ms", "How long to wait for each answer",
+      "TOKEN")("timeout-ms", "Timeout of each request, in milliseconds",
                cxxopts::value<int>()->default_value(kDefaultTimeout),
                "N")("json", "Print JSON");
 }
--- a/src/cli/admin_client.h
+++ b/src/cli/admin_client.h
@@ -1,4 +1,4 @@
-// Calls to the administration API of one daemon.
+// HTTP client for the administration API of one daemon.
 
 #ifndef MEDLARSPREAD_CLI_ADMIN_CLIENT_H_
 #define MEDLARSPREAD_CLI_ADMIN_CLIENT_H_
@@ -20,16 +20,17 @@
   // Adds --address, --token, --timeout-ms and --json.
   static void AddOptions(cxxopts::Options& options);
 
-  // Reads these options, and MEDLARSPREAD_ADDRESS and MEDLARSPREAD_TOKEN in
-  // their place. Says on the error stream what is missing; nothing then.
+  // Reads these options; the environment variables MEDLARSPREAD_ADDRESS and
+  // MEDLARSPREAD_TOKEN are the defaults. Prints an error and returns nullopt if
+  // a value is missing or invalid.
   static std::optional<AdminClient> Make(const Environment& environment,
                                          const cxxopts::ParseResult& arguments);
 
-  // Fills in the token and the content type.
+  // Adds the Authorization header and sends the request.
   base::Result<http::Response> Send(http::Request request) const;
 
-  // Prints the answer to GET `path`, as JSON or for people, or why there is
-  // none.
+  // Sends GET `path` and prints the response, as JSON or as readable text. On
+  // failure prints the error instead.
   ExitCode GetAndPrint(const std::string& path, bool is_json) const;
 
  private:
--- a/src/cli/change_sender.cc
+++ b/src/cli/change_sender.cc
@@ -1,4 +1,4 @@
-// Attempts, pauses between them, and the report.
+// Retries with exponential backoff, and output of the outcome.
 
 #include "src/cli/change_sender.h"
 
@@ -53,7 +53,8 @@
 ExitCode ChangeSender::Send(const http::Request& request,
                             const std::string& change_id,
                             bool is_json) const {
-  // Printed first: whoever interrupts this command needs it to ask again.
+  // Printed before sending: if this command is interrupted, the identifier is
+  // needed to repeat the change.
   environment_.error << "change id: " << change_id << "\n";
   const auto reply = SendUntilSettled(request);
   const ReplyKind kind = KindOf(reply);
@@ -78,15 +79,16 @@
 
 base::Result<http::Response> ChangeSender::SendUntilSettled(
     const http::Request& request) const {
-  // 1. A reply that says what became of the change settles it.
-  // 2. After an attempt with an unknown outcome, a daemon that can't be reached
-  //    or refuses for now says nothing about that attempt: it stays unknown.
+  // 1. A reply of 200 or 409 determines the outcome of the change.
+  // 2. After an attempt with an unknown outcome, a later attempt that fails or
+  //    is refused does not reveal whether the first one took effect: the
+  //    outcome stays unknown.
   base::Result<http::Response> unsettled = client_.Send(request);
   base::Duration pause = kFirstPause;
   for (int attempt = 1;
        attempt < kAttempts && KindOf(unsettled) == ReplyKind::kUnknown;
        ++attempt) {
-    environment_.error << DescribeReply(unsettled) << "; asking again\n";
+    environment_.error << DescribeReply(unsettled) << "; retrying\n";
     environment_.sleep(pause);
     pause *= 2;
     auto reply = client_.Send(request);
--- a/src/cli/change_sender.h
+++ b/src/cli/change_sender.h
@@ -1,6 +1,6 @@
-// Sends one change of targets until its outcome is known. The change keeps its
-// identifier over all attempts, so that a change whose reply was lost is found
-// again rather than made twice.
+// Sends one change of targets and retries while its outcome is unknown. All
+// attempts carry the same change identifier, so that a change whose reply was
+// lost is recognized and not applied twice.
 
 #ifndef MEDLARSPREAD_CLI_CHANGE_SENDER_H_
 #define MEDLARSPREAD_CLI_CHANGE_SENDER_H_
@@ -19,16 +19,18 @@
   ChangeSender(const Environment& environment, const AdminClient& client)
       : environment_(environment), client_(client) {}
 
-  // A new identifier: "<milliseconds since 1970>-<16 hexadecimal digits>".
+  // Returns a new identifier: "<milliseconds since 1970>-<16 hexadecimal
+  // digits>".
   static std::string MakeChangeId(const Environment& environment);
 
-  // `request` must carry `change_id`. Prints the outcome.
+  // `request` must contain `change_id`. Prints the outcome.
   ExitCode Send(const http::Request& request,
                 const std::string& change_id,
                 bool is_json) const;
 
  private:
-  // The first reply that settles the matter, or the unknown outcome itself.
+  // Returns the first reply that determines the outcome. If no attempt gets
+  // one, returns the reply to the first attempt.
   base::Result<http::Response> SendUntilSettled(
       const http::Request& request) const;
 
--- a/src/cli/check_config_command.cc
+++ b/src/cli/check_config_command.cc
@@ -1,4 +1,4 @@
-// Loads a settings file and prints what was understood, or every problem.
+// Loads a settings file and prints the resulting settings, or all errors.
 
 #include "src/cli/check_config_command.h"
 
--- a/src/cli/check_config_command.h
+++ b/src/cli/check_config_command.h
@@ -1,5 +1,5 @@
-// `medlarspread check-config`: checks a settings file without starting
-// anything.
+// `medlarspread check-config`: validates a settings file without starting the
+// daemon.
 
 #ifndef MEDLARSPREAD_CLI_CHECK_CONFIG_COMMAND_H_
 #define MEDLARSPREAD_CLI_CHECK_CONFIG_COMMAND_H_
@@ -16,7 +16,7 @@
  public:
   static constexpr CommandText kText = {
       "check-config", "FILE",
-      "Check a settings file and show what would be in force."};
+      "Validate a settings file and print the resulting settings."};
 
   explicit CheckConfigCommand(const Environment& environment)
       : environment_(environment) {}
--- a/src/cli/class_list_command.cc
+++ b/src/cli/class_list_command.cc
@@ -1,4 +1,4 @@
-// Reads all classes and prints them as a table.
+// Requests all classes and prints them as a table.
 
 #include "src/cli/class_list_command.h"
 
--- a/src/cli/class_list_command.h
+++ b/src/cli/class_list_command.h
@@ -1,4 +1,4 @@
-// `medlarspread class list`: the targets of all classes.
+// `medlarspread class list`: prints the targets of all classes.
 
 #ifndef MEDLARSPREAD_CLI_CLASS_LIST_COMMAND_H_
 #define MEDLARSPREAD_CLI_CLASS_LIST_COMMAND_H_
--- a/src/cli/class_remove_command.cc
+++ b/src/cli/class_remove_command.cc
@@ -1,4 +1,4 @@
-// Sends the removal of a class.
+// Sends the DELETE request for a class.
 
 #include "src/cli/class_remove_command.h"
 
--- a/src/cli/class_remove_command.h
+++ b/src/cli/class_remove_command.h
@@ -15,7 +15,7 @@
  public:
   static constexpr CommandText kText = {
       "class remove", "NAME",
-      "Remove a class: its requests are refused from then on."};
+      "Remove a class. Its requests are refused from then on."};
 
   explicit ClassRemoveCommand(const Environment& environment)
       : environment_(environment) {}
--- a/src/cli/class_set_command.cc
+++ b/src/cli/class_set_command.cc
@@ -1,5 +1,5 @@
-// Collects the targets from the arguments and, where some were not given, from
-// those in force; then sends the change.
+// Takes the targets from the arguments, fills in missing ones from the current
+// targets of the class, and sends the change.
 
 #include "src/cli/class_set_command.h"
 
@@ -19,7 +19,7 @@
 
 using web::json::value;
 
-// The option and the field of the API for each numeric target.
+// A numeric target: its option and its field in the API.
 struct NumberOption {
   const char* option;
   const char* field;
@@ -27,13 +27,13 @@
 };
 
 constexpr NumberOption kNumberOptions[] = {
-    {"latency-ms", "latency_ms", "Answers must arrive within this time"},
+    {"latency-ms", "latency_ms", "Latency target of answers, in milliseconds"},
     {"percentile", "percentile",
-     "Share of answers that must be in time, in per cent"},
+     "Percentage of answers that must meet the latency target"},
     {"coverage", "coverage",
-     "Share of the key space that an answer must cover, 0 to 1"},
+     "Fraction of the key space that an answer must cover, 0 to 1"},
     {"coverage-percentile", "coverage_percentile",
-     "Share of answers that must be covered so, in per cent"},
+     "Percentage of answers that must meet the coverage target"},
 };
 
 bool HasAllTargets(const cxxopts::ParseResult& arguments) {
@@ -44,8 +44,8 @@
   return has_all;
 }
 
-// Puts the targets that were given into `targets`. Returns the name of an
-// option that is not a finite number, or null.
+// Writes the targets given as options into `targets`. Returns the name of an
+// option that is not a finite number, or nullptr.
 const char* Merge(const cxxopts::ParseResult& arguments, value& targets) {
   if (arguments.count("collection") > 0) {
     targets["collection"] =
@@ -77,8 +77,8 @@
   }
   options.add_options()(
       "expected-revision",
-      "Refuse the change if another revision is in force. Taken from what is "
-      "read if some targets are left out",
+      "Reject the change if another revision is in force. Defaults to the "
+      "revision that was read if some targets are omitted",
       cxxopts::value<std::int64_t>(),
       "N")("change-id", "Repeat the change with this identifier",
            cxxopts::value<std::string>(), "ID");
--- a/src/cli/class_set_command.h
+++ b/src/cli/class_set_command.h
@@ -1,4 +1,4 @@
-// `medlarspread class set`: states or changes the targets of a class.
+// `medlarspread class set`: creates a class or changes its targets.
 
 #ifndef MEDLARSPREAD_CLI_CLASS_SET_COMMAND_H_
 #define MEDLARSPREAD_CLI_CLASS_SET_COMMAND_H_
@@ -18,8 +18,7 @@
 class ClassSetCommand {
  public:
   static constexpr CommandText kText = {
-      "class set", "NAME",
-      "State the targets of a class, or change some of them."};
+      "class set", "NAME", "Create a class, or change some of its targets."};
 
   explicit ClassSetCommand(const Environment& environment)
       : environment_(environment) {}
@@ -28,8 +27,8 @@
   ExitCode Run(const cxxopts::ParseResult& arguments) const;
 
  private:
-  // The targets in force, to fill in those that were not given. Says what is
-  // wrong on the error stream; nothing then.
+  // Reads the current targets, which replace those that were not given. On
+  // failure prints an error and returns nullopt.
   std::optional<std::string> ReadTargets(const AdminClient& client,
                                          const std::string& name) const;
 
--- a/src/cli/class_show_command.h
+++ b/src/cli/class_show_command.h
@@ -1,4 +1,4 @@
-// `medlarspread class show`: the targets of one class.
+// `medlarspread class show`: prints the targets of one class.
 
 #ifndef MEDLARSPREAD_CLI_CLASS_SHOW_COMMAND_H_
 #define MEDLARSPREAD_CLI_CLASS_SHOW_COMMAND_H_
--- a/src/cli/class_targets_text.cc
+++ b/src/cli/class_targets_text.cc
@@ -1,4 +1,4 @@
-// Picks the fields that a change may hold.
+// Copies the fields that a change may contain.
 
 #include "src/cli/class_targets_text.h"
 
@@ -32,7 +32,7 @@
       return change.serialize();
     }
   } catch (const std::exception&) {
-    // Not JSON, or a field is missing: the caller says so.
+    // Not JSON, or a field is missing: the caller reports the error.
   }
   return std::nullopt;
 }
--- a/src/cli/class_targets_text.h
+++ b/src/cli/class_targets_text.h
@@ -1,5 +1,5 @@
-// Reads a class's targets from an answer of the administration API, as the
-// start of a change to them.
+// Converts the targets of a class, as the administration API returns them, into
+// the request body of a change.
 
 #ifndef MEDLARSPREAD_CLI_CLASS_TARGETS_TEXT_H_
 #define MEDLARSPREAD_CLI_CLASS_TARGETS_TEXT_H_
@@ -9,9 +9,9 @@
 
 namespace medlarspread::cli {
 
-// The targets of class `name` and the revision they were read at, as the body
-// of a change that expects this revision. Nothing if `answer` is no answer to
-// GET /v1/classes/NAME.
+// Returns the body of a change that keeps the targets of class `name` in
+// `answer` and expects the revision in `answer`. Returns nullopt if `answer` is
+// not a valid response to GET /v1/classes/NAME.
 std::optional<std::string> MakeChangeFromAnswer(const std::string& answer,
                                                 const std::string& name);
 
--- a/src/cli/command_line.cc
+++ b/src/cli/command_line.cc
@@ -1,4 +1,4 @@
-// Dispatch over the variant of commands.
+// Dispatches to the commands and renders the help text.
 
 #include "src/cli/command_line.h"
 
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,4 +1,4 @@
-// Finds the command that the arguments name, parses its options and runs it.
+// Selects the subcommand from the arguments, parses its options and runs it.
 
 #ifndef MEDLARSPREAD_CLI_COMMAND_LINE_H_
 #define MEDLARSPREAD_CLI_COMMAND_LINE_H_
@@ -42,14 +42,14 @@
   // `environment` must outlive this object.
   explicit CommandLine(const Environment& environment);
 
-  // `arguments` is without the program's name.
+  // `arguments` excludes the program name.
   ExitCode Run(const std::vector<std::string>& arguments) const;
 
  private:
   ExitCode RunCommand(const Command& command,
                       const std::vector<std::string>& arguments) const;
   ExitCode ReportUnknownCommand(const std::string& name) const;
-  // The overview of all commands.
+  // Returns the help text that lists all commands.
   std::string RenderHelp() const;
 
   const Environment& environment_;
--- a/src/cli/command_text.h
+++ b/src/cli/command_text.h
@@ -1,4 +1,4 @@
-// How a command is called and described in the help.
+// Name, argument and help text of a command.
 
 #ifndef MEDLARSPREAD_CLI_COMMAND_TEXT_H_
 #define MEDLARSPREAD_CLI_COMMAND_TEXT_H_
@@ -8,13 +8,13 @@
 struct CommandText {
   // One or two words: "status", "class set".
   const char* name;
-  // Its positional argument as shown in the help; empty if it takes none.
+  // The positional argument as shown in the help; empty if there is none.
   const char* positional;
   // One sentence.
   const char* summary;
 };
 
-// The option that holds the positional argument of every command.
+// Name of the cxxopts option that receives the positional argument.
 constexpr const char* kPositionalOption = "positional";
 
 }  // namespace medlarspread::cli
--- a/src/cli/environment.h
+++ b/src/cli/environment.h
@@ -1,5 +1,5 @@
-// Everything outside the process that a command uses, so that tests can stand
-// in for it.
+// The external dependencies of the commands (output, network, clock and so on),
+// which tests replace by fakes.
 
 #ifndef MEDLARSPREAD_CLI_ENVIRONMENT_H_
 #define MEDLARSPREAD_CLI_ENVIRONMENT_H_
@@ -17,14 +17,14 @@
 
 namespace medlarspread::cli {
 
-// Sends one request to "ip:port" and waits for the answer. Errors are those of
-// http::Client::Send.
+// Sends one HTTP request to "ip:port" and waits for the response. Returns the
+// errors of http::Client::Send.
 using Exchange =
     std::function<base::Result<http::Response>(const std::string& address,
                                                const http::Request& request,
                                                base::Duration timeout)>;
 
-// Writes a key of the store at that address and waits for the outcome.
+// Writes a key to the store at `address` and waits for the result.
 using WriteKey = std::function<base::Status(const std::string& address,
                                             const std::string& key,
                                             const std::string& value)>;
@@ -33,7 +33,7 @@
 using Serve = std::function<int(const settings::DaemonSettings&)>;
 
 struct Environment {
-  // Results go to `out`, everything else to `error`.
+  // Results are written to `out`, errors and notes to `error`.
   std::ostream& out;
   std::ostream& error;
   std::function<std::optional<std::string>(const char* name)> variable;
--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -1,4 +1,4 @@
-// What the process tells its parent. docs/OPERATING.md lists the codes.
+// Exit codes of the process. docs/OPERATING.md documents them.
 
 #ifndef MEDLARSPREAD_CLI_EXIT_CODE_H_
 #define MEDLARSPREAD_CLI_EXIT_CODE_H_
@@ -8,9 +8,9 @@
 enum class ExitCode : int {
   kOk = 0,
   kFailure = 1,
-  // The command line is wrong; nothing was tried.
+  // Invalid command line; nothing was attempted.
   kUsage = 2,
-  // The system refused: nothing was run or changed.
+  // The daemon refused the request: nothing was run or changed.
   kRefused = 3,
   // The request may have been run, or the change may have been made.
   kUnknown = 4,
--- a/src/cli/http_exchange.cc
+++ b/src/cli/http_exchange.cc
@@ -1,4 +1,4 @@
-// Waits for http::Client's callback.
+// Blocks until the callback of http::Client is called.
 
 #include "src/cli/http_exchange.h"
 
--- a/src/cli/http_exchange.h
+++ b/src/cli/http_exchange.h
@@ -1,4 +1,4 @@
-// The real cli::Exchange: one HTTP request, waited for.
+// The production implementation of cli::Exchange: one blocking HTTP request.
 
 #ifndef MEDLARSPREAD_CLI_HTTP_EXCHANGE_H_
 #define MEDLARSPREAD_CLI_HTTP_EXCHANGE_H_
@@ -11,7 +11,8 @@
 
 namespace medlarspread::cli {
 
-// Starts the HTTP library's threads on first use.
+// Sends `request` and blocks until the response or an error. The first call
+// starts the threads of the HTTP library.
 base::Result<http::Response> SendAndWait(const std::string& address,
                                          const http::Request& request,
                                          base::Duration timeout);
--- a/src/cli/json_text.cc
+++ b/src/cli/json_text.cc
@@ -1,4 +1,4 @@
-// Rendering of JSON as aligned text.
+// Renders JSON as aligned text.
 
 #include "src/cli/json_text.h"
 
@@ -33,7 +33,7 @@
   if (scalar.is_string()) {
     return scalar.as_string();
   }
-  // The library writes 0.98 with 17 digits.
+  // The JSON library would print 0.98 with 17 digits.
   if (scalar.is_double() && std::isfinite(scalar.as_double())) {
     return base::JsonNumber(scalar.as_double());
   }
@@ -49,12 +49,12 @@
                      [](const value& row) { return row.is_object(); });
 }
 
-// A nested object or a table gets lines of its own; all else fits on one.
+// Whether `field` is rendered on several lines: non-empty objects and tables.
 bool IsBlock(const value& field) {
   return (field.is_object() && field.size() > 0) || IsTable(field);
 }
 
-// A value inside a table: nested objects as "name=value", lists with commas.
+// Renders a table cell: objects as "name=value", arrays separated by commas.
 std::string ShowCell(const value& cell) {
   std::string text;
   if (cell.is_object()) {
@@ -73,7 +73,8 @@
   return text.empty() ? "-" : text;
 }
 
-// The columns of a table: "name" first, then the others in order of the rows.
+// Returns the columns of a table: "name" first, then the others in the order in
+// which the rows contain them.
 std::vector<std::string> ColumnsOf(const web::json::array& rows) {
   std::vector<std::string> columns;
   for (const value& row : rows) {
--- a/src/cli/json_text.h
+++ b/src/cli/json_text.h
@@ -1,5 +1,4 @@
-// JSON answers as text for people, and the few reads of them that commands
-// need.
+// Renders JSON responses as readable text and extracts single fields.
 
 #ifndef MEDLARSPREAD_CLI_JSON_TEXT_H_
 #define MEDLARSPREAD_CLI_JSON_TEXT_H_
@@ -12,13 +11,13 @@
 // Whether `text` is one valid JSON value.
 bool IsJson(const std::string& text);
 
-// The field at `path`, such as "coverage.share", as text; strings without their
-// quotes. Nothing if `json` is invalid or lacks it.
+// Returns the field at `path`, such as "coverage.share", as text; strings are
+// not quoted. Returns nullopt if `json` is invalid or lacks the field.
 std::optional<std::string> FindField(const std::string& json,
                                      const std::string& path);
 
-// Nested objects as indented "name: value" lines, arrays of objects as tables.
-// Text that isn't JSON is returned as it is.
+// Renders objects as indented "name: value" lines and arrays of objects as
+// tables. Text that is not JSON is returned unchanged.
 std::string RenderJson(const std::string& json);
 
 }  // namespace medlarspread::cli
--- a/src/cli/log_level_command.cc
+++ b/src/cli/log_level_command.cc
@@ -1,4 +1,4 @@
-// Sends the new log level.
+// Sends the new log level to the daemon.
 
 #include "src/cli/log_level_command.h"
 
--- a/src/cli/log_level_command.h
+++ b/src/cli/log_level_command.h
@@ -1,4 +1,4 @@
-// `medlarspread log-level`: changes what a running daemon logs.
+// `medlarspread log-level`: sets the log level of a running daemon.
 
 #ifndef MEDLARSPREAD_CLI_LOG_LEVEL_COMMAND_H_
 #define MEDLARSPREAD_CLI_LOG_LEVEL_COMMAND_H_
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -1,4 +1,4 @@
-// Puts the real environment together.
+// Creates the production environment and runs the command line.
 
 #include "src/cli/main.h"
 
--- a/src/cli/main.h
+++ b/src/cli/main.h
@@ -1,4 +1,4 @@
-// The command line of the one binary.
+// Entry point of the command-line interface.
 
 #ifndef MEDLARSPREAD_CLI_MAIN_H_
 #define MEDLARSPREAD_CLI_MAIN_H_
@@ -7,8 +7,8 @@
 
 namespace medlarspread::cli {
 
-// Runs the command that the arguments name. `serve` runs the daemon. Returns
-// the exit status of the process, see ExitCode.
+// Runs the command given by the arguments and returns the exit status of the
+// process (see ExitCode). `serve` runs the daemon.
 int Main(int argument_count, const char* const* arguments, Serve serve);
 
 }  // namespace medlarspread::cli
--- a/src/cli/quarantine_lift_command.cc
+++ b/src/cli/quarantine_lift_command.cc
@@ -1,4 +1,4 @@
-// One key of the store, written whatever it held before.
+// Overwrites the quarantine entry in the store unconditionally.
 
 #include "src/cli/quarantine_lift_command.h"
 
@@ -19,13 +19,14 @@
     const cxxopts::ParseResult& arguments) const {
   if (arguments.count(kPositionalOption) == 0 ||
       arguments.count("settings") == 0) {
-    environment_.error << "FINGERPRINT and --settings are needed\n";
+    environment_.error << "FINGERPRINT and --settings are required\n";
     return ExitCode::kUsage;
   }
   const auto& text = arguments[kPositionalOption].as<std::string>();
   if (!quarantine::FingerprintFromText(text)) {
-    environment_.error << text << " is no fingerprint: 32 digits of 0 to f, as "
-                       << "the log has them\n";
+    environment_.error << text
+                       << " is not a fingerprint: expected 32 hexadecimal "
+                       << "digits, as in the log\n";
     return ExitCode::kUsage;
   }
   const auto settings =
@@ -46,7 +47,7 @@
                        << written.error().ToString() << "\n";
     return ExitCode::kUnknown;
   }
-  environment_.out << "lifted; all daemons know within seconds\n";
+  environment_.out << "lifted; takes effect on all daemons within seconds\n";
   return ExitCode::kOk;
 }
 
--- a/src/cli/quarantine_lift_command.h
+++ b/src/cli/quarantine_lift_command.h
@@ -1,5 +1,5 @@
-// `medlarspread quarantine lift`: lets a request run again that was found to
-// end the leaves that run it.
+// `medlarspread quarantine lift`: lifts the quarantine of a request that was
+// found to crash the leaves that run it.
 
 #ifndef MEDLARSPREAD_CLI_QUARANTINE_LIFT_COMMAND_H_
 #define MEDLARSPREAD_CLI_QUARANTINE_LIFT_COMMAND_H_
@@ -12,12 +12,13 @@
 
 namespace medlarspread::cli {
 
-// Writes to the store itself: with the opaque interface no daemon takes orders.
+// Writes to the store directly, because daemons with the opaque interface have
+// no administration API.
 class QuarantineLiftCommand {
  public:
   static constexpr CommandText kText = {
       "quarantine lift", "FINGERPRINT",
-      "Let a request run again that was found to end leaves."};
+      "Lift the quarantine of a request that was found to crash leaves."};
 
   explicit QuarantineLiftCommand(const Environment& environment)
       : environment_(environment) {}
--- a/src/cli/query_command.cc
+++ b/src/cli/query_command.cc
@@ -1,4 +1,4 @@
-// Builds a caller's request from the arguments and prints the answer.
+// Builds a query request from the arguments and prints the response.
 
 #include "src/cli/query_command.h"
 
@@ -12,7 +12,8 @@
 
 constexpr int kSuffixDigits = 16;
 constexpr int kMaxDeadlineMilliseconds = 600000;
-// The answer comes at the deadline at the latest; this covers the way back.
+// The daemon answers by the deadline; this allows for the network delay of the
+// response.
 constexpr base::Duration kReplyMargin = base::Milliseconds(2000);
 
 std::string MakeRequestId(const Environment& environment) {
@@ -31,7 +32,7 @@
          R"(,"query":)" + arguments[kPositionalOption].as<std::string>() + "}";
 }
 
-// Nothing if the arguments can be sent.
+// Returns an error message, or "" if the arguments are valid.
 std::string FindUsageProblem(const cxxopts::ParseResult& arguments) {
   if (arguments.count("address") == 0 || arguments.count("class") == 0) {
     return "--address and --class are required";
@@ -53,10 +54,10 @@
   options.add_options()("address", "ip:port of a daemon's [callers] listener",
                         cxxopts::value<std::string>(), "IP:PORT")(
       "class", "The class of the request", cxxopts::value<std::string>(),
-      "NAME")("deadline-ms", "When the answer is of no use any more",
+      "NAME")("deadline-ms", "Deadline of the request, in milliseconds",
               cxxopts::value<int>()->default_value("1000"), "N")(
       "idempotent",
-      "The query may run more than once; without it, it runs at most once")(
+      "Allow the query to run more than once; by default it runs at most once")(
       "request-id", "Submit the request with this identifier again",
       cxxopts::value<std::string>(), "ID")("json", "Print JSON");
 }
@@ -74,7 +75,7 @@
   request.method = "POST";
   request.path = "/v1/query";
   request.body = MakeBody(arguments, request_id);
-  // A request that may run once only must not be repeated by the library.
+  // The HTTP library must not resend a request that may run at most once.
   request.is_sent_once = arguments.count("idempotent") == 0;
   const base::Duration deadline =
       base::Milliseconds(arguments["deadline-ms"].as<int>());
--- a/src/cli/query_command.h
+++ b/src/cli/query_command.h
@@ -1,4 +1,4 @@
-// `medlarspread query`: sends one request as a caller would.
+// `medlarspread query`: sends one request to the caller API.
 
 #ifndef MEDLARSPREAD_CLI_QUERY_COMMAND_H_
 #define MEDLARSPREAD_CLI_QUERY_COMMAND_H_
--- a/src/cli/reply_report.cc
+++ b/src/cli/reply_report.cc
@@ -1,4 +1,4 @@
-// Maps replies to outcomes, exit codes and text.
+// Classification and description of replies.
 
 #include "src/cli/reply_report.h"
 
@@ -34,7 +34,7 @@
   }
   const auto retry = FindField(body, "retry_after_ms");
   if (retry) {
-    text += "; come back in " + *retry + " ms";
+    text += "; retry in " + *retry + " ms";
   }
   return text;
 }
--- a/src/cli/reply_report.h
+++ b/src/cli/reply_report.h
@@ -1,4 +1,4 @@
-// What a command says, and exits with, when it did not get what it asked for.
+// Maps HTTP replies to outcomes, exit codes and error messages.
 
 #ifndef MEDLARSPREAD_CLI_REPLY_REPORT_H_
 #define MEDLARSPREAD_CLI_REPLY_REPORT_H_
@@ -11,14 +11,14 @@
 
 namespace medlarspread::cli {
 
-// How a request ended, whatever it was for.
+// Outcome of any request.
 enum class ReplyKind {
   kOk,
-  // Wrong in itself, not allowed, or no daemon there: nothing was done.
+  // Invalid, not authorized, or the daemon was unreachable: nothing was done.
   kFailed,
-  // Not done now; it may be tried again later.
+  // Not done; the request may be retried later.
   kRefused,
-  // It may have been done.
+  // The request may have been executed.
   kUnknown,
 };
 
@@ -26,10 +26,12 @@
 
 ExitCode ExitCodeOf(ReplyKind kind);
 
-// One line that says what went wrong, where, and when to come back.
+// Returns one line with the error, the step and peer where it occurred, and
+// when to retry.
 std::string DescribeReply(const base::Result<http::Response>& reply);
 
-// Prints a reply that is not kOk to the error stream. Returns its exit code.
+// Prints the description of a reply that is not kOk to the error stream.
+// Returns its exit code.
 ExitCode ReportFailure(const Environment& environment,
                        const base::Result<http::Response>& reply);
 
--- a/src/cli/report_burn_command.cc
+++ b/src/cli/report_burn_command.cc
@@ -1,4 +1,4 @@
-// Reads the burn report in the wanted format and prints it as it is.
+// Requests the burn report in the given format and prints it unchanged.
 
 #include "src/cli/report_burn_command.h"
 
--- a/src/cli/report_burn_command.h
+++ b/src/cli/report_burn_command.h
@@ -1,4 +1,4 @@
-// `medlarspread report burn`: the report on service-level burn.
+// `medlarspread report burn`: prints the report on error budget burn.
 
 #ifndef MEDLARSPREAD_CLI_REPORT_BURN_COMMAND_H_
 #define MEDLARSPREAD_CLI_REPORT_BURN_COMMAND_H_
--- a/src/cli/serve_command.cc
+++ b/src/cli/serve_command.cc
@@ -1,4 +1,4 @@
-// Loads the settings and hands them to the daemon.
+// Loads the settings and runs the daemon.
 
 #include "src/cli/serve_command.h"
 
@@ -7,14 +7,15 @@
 namespace medlarspread::cli {
 
 void ServeCommand::AddOptions(cxxopts::Options& options) const {
-  options.add_options()("settings", "The settings file; the same as FILE",
+  options.add_options()("settings", "The settings file, instead of FILE",
                         cxxopts::value<std::string>(), "FILE");
 }
 
 ExitCode ServeCommand::Run(const cxxopts::ParseResult& arguments) const {
   const bool has_option = arguments.count("settings") > 0;
   if (has_option == (arguments.count(kPositionalOption) > 0)) {
-    environment_.error << "give the settings file once\n";
+    environment_.error
+        << "give exactly one settings file, as FILE or --settings\n";
     return ExitCode::kUsage;
   }
   const auto& path =
--- a/src/cli/serve_command.h
+++ b/src/cli/serve_command.h
@@ -1,4 +1,4 @@
-// `medlarspread serve`: the daemon.
+// `medlarspread serve`: runs the daemon.
 
 #ifndef MEDLARSPREAD_CLI_SERVE_COMMAND_H_
 #define MEDLARSPREAD_CLI_SERVE_COMMAND_H_
@@ -15,7 +15,7 @@
  public:
   static constexpr CommandText kText = {
       "serve", "FILE",
-      "Run the daemon with the settings of FILE until it is told to stop."};
+      "Run the daemon with the settings in FILE until it is stopped."};
 
   explicit ServeCommand(const Environment& environment)
       : environment_(environment) {}
--- a/src/cli/status_command.cc
+++ b/src/cli/status_command.cc
@@ -1,4 +1,4 @@
-// Reads the status of one daemon and prints it.
+// Requests the status of one daemon and prints it.
 
 #include "src/cli/status_command.h"
 
--- a/src/cli/status_command.h
+++ b/src/cli/status_command.h
@@ -1,4 +1,4 @@
-// `medlarspread status`: what one daemon knows of the system.
+// `medlarspread status`: prints the system status as one daemon sees it.
 
 #ifndef MEDLARSPREAD_CLI_STATUS_COMMAND_H_
 #define MEDLARSPREAD_CLI_STATUS_COMMAND_H_
--- a/src/cli/store_write.cc
+++ b/src/cli/store_write.cc
@@ -1,4 +1,4 @@
-// Runs the store's client until its one call has ended.
+// Runs an event loop until the write has finished.
 
 #include "src/cli/store_write.h"
 
@@ -12,7 +12,8 @@
 
 namespace {
 
-// The store answers in 4 ms, and in 60 times as long on a slow day.
+// The store usually answers in 4 ms, and takes up to 60 times as long when it
+// is slow.
 constexpr base::Duration kTimeout = base::Milliseconds(3'000);
 constexpr std::int64_t kNoLease = 0;
 
@@ -27,7 +28,7 @@
       context, runner, {address, kTimeout}, [](std::int64_t) {}, base::Log());
   base::Status result =
       base::MakeError(base::ErrorCode::kTimeout, base::Step::kWriteStore,
-                      address, "no answer in time");
+                      address, "no reply in time");
   calls.source().put(key, value, kNoLease, [&](const base::Status& written) {
     result = written;
     context.stop();
--- a/src/cli/store_write.h
+++ b/src/cli/store_write.h
@@ -1,4 +1,4 @@
-// One write to the platform's store, from a program that does nothing else.
+// A single blocking write to the platform's store.
 
 #ifndef MEDLARSPREAD_CLI_STORE_WRITE_H_
 #define MEDLARSPREAD_CLI_STORE_WRITE_H_
@@ -9,8 +9,8 @@
 
 namespace medlarspread::cli {
 
-// Writes a key that stays, and waits for the answer. `address` is the store's.
-// kTimeout: it may have been written.
+// Writes a key without a lease to the store at `address` and waits for the
+// result. On kTimeout the key may have been written.
 base::Status WriteKeyAndWait(const std::string& address,
                              const std::string& key,
                              const std::string& value);
--- a/src/cli/version.h
+++ b/src/cli/version.h
@@ -1,4 +1,4 @@
-// The version of the product.
+// The version of medlarspread.
 
 #ifndef MEDLARSPREAD_CLI_VERSION_H_
 #define MEDLARSPREAD_CLI_VERSION_H_
--- a/src/cli/version_command.h
+++ b/src/cli/version_command.h
@@ -1,4 +1,4 @@
-// `medlarspread version`.
+// `medlarspread version`: prints the version.
 
 #ifndef MEDLARSPREAD_CLI_VERSION_COMMAND_H_
 #define MEDLARSPREAD_CLI_VERSION_COMMAND_H_
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,4 +1,4 @@
-// The one binary: every role is a subcommand of it.
+// Entry point of the medlarspread binary. Every role is a subcommand.
 
 #include "src/cli/main.h"
 #include "src/daemon/serve.h"
--- a/tests/cli/class_commands_test.cc
+++ b/tests/cli/class_commands_test.cc
@@ -1,5 +1,5 @@
-// Changes of targets: what is sent, and what is said when replies are lost,
-// late or of another operator's change.
+// The class commands: the requests they send, and their retries and output when
+// replies are lost, refused or report a conflicting change.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -107,7 +107,7 @@
   EXPECT_THAT(fake_.error, HasSubstr("winner_change_id 9-other"));
   EXPECT_EQ(fake_.Run(kFullSet), 3);
   EXPECT_THAT(fake_.error, HasSubstr("store down"));
-  EXPECT_THAT(fake_.error, HasSubstr("come back in 500 ms"));
+  EXPECT_THAT(fake_.error, HasSubstr("; retry in 500 ms"));
   EXPECT_EQ(fake_.requests.size(), 2U);
 }
 
--- a/tests/cli/command_line_test.cc
+++ b/tests/cli/command_line_test.cc
@@ -1,4 +1,5 @@
-// Finding, parsing and refusing commands, and the commands without a change.
+// Selection and parsing of commands, usage errors, and the commands that change
+// no targets.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
--- a/tests/cli/fake_environment.h
+++ b/tests/cli/fake_environment.h
@@ -1,5 +1,5 @@
-// Stands in for everything outside the process: a script of replies, recorded
-// requests and captured output.
+// Fake of cli::Environment: scripted replies, recorded requests and captured
+// output.
 
 #ifndef MEDLARSPREAD_TESTS_CLI_FAKE_ENVIRONMENT_H_
 #define MEDLARSPREAD_TESTS_CLI_FAKE_ENVIRONMENT_H_
@@ -42,16 +42,17 @@
     return static_cast<int>(code);
   }
 
-  // The replies to come. When they are used up the address is unreachable.
+  // The next replies, in order. When none is left, requests fail with
+  // kUnreachable.
   std::deque<Reply> replies;
   std::map<std::string, std::string> variables = {
       {"MEDLARSPREAD_ADDRESS", "10.0.0.1:81"},
       {"MEDLARSPREAD_TOKEN", "secret-token"}};
-  // What was sent, and where.
+  // The requests sent, and their addresses.
   std::vector<http::Request> requests;
   std::vector<std::string> addresses;
   base::Duration slept{};
-  // Writes to the store: address, key and value; and what comes of each.
+  // Writes to the store (address, key and value), and the result of each.
   std::vector<std::array<std::string, 3>> written_keys;
   base::Status write_result = base::Done{};
   std::vector<settings::DaemonSettings> served;
--- a/tests/cli/http_exchange_test.cc
+++ b/tests/cli/http_exchange_test.cc
@@ -1,4 +1,4 @@
-// The real exchange, and one command through it, against a real listener.
+// SendAndWait, and one command that uses it, against a real HTTP listener.
 
 #include <sstream>
 
@@ -13,8 +13,8 @@
 namespace {
 
 TEST(HttpExchangeTest, CarriesACommandToAListener) {
-  // Nothing listens on the reserved port 1. NOTE: this call comes first, since
-  // it starts the threads that the listener needs too.
+  // Nothing listens on the reserved port 1. NOTE: this call must come first: it
+  // starts the threads that the listener uses too.
   const auto refused =
       SendAndWait("127.0.0.1:1", {}, base::Milliseconds(20000));
   ASSERT_FALSE(refused.is_ok());
--- a/tests/cli/quarantine_lift_command_test.cc
+++ b/tests/cli/quarantine_lift_command_test.cc
@@ -1,4 +1,4 @@
-// What an operator who lifts a verdict writes, and what it is told.
+// `quarantine lift`: the entry written to the store, and the errors reported.
 
 #include <cstdlib>
 #include <filesystem>
