--- a/src/admin_api/admin_api.cc
+++ b/src/admin_api/admin_api.cc
@@ -1,4 +1,4 @@
-// Routing of the administration API's calls.
+// Authorization, routing and handlers of the administration API.
 
 #include "src/admin_api/admin_api.h"
 
@@ -36,12 +36,12 @@
 
 Response MakeUnauthorized() {
   Response response = MakeErrorResponse(http::kUnauthorized, "unauthorized",
-                                        "a valid bearer token is needed");
+                                        "a valid bearer token is required");
   response.headers["WWW-Authenticate"] = "Bearer";
   return response;
 }
 
-// The name in "/v1/classes/NAME", or empty.
+// Returns NAME of "/v1/classes/NAME", or "" for other paths.
 std::string ClassNameIn(const std::string& path) {
   return path.starts_with(kClassPrefix) ? path.substr(kClassPrefix.size()) : "";
 }
@@ -67,7 +67,7 @@
   using Call = void (Impl::*)(const Request&, const Responder&);
   struct Route {
     std::string_view method;
-    // With a trailing slash: everything below it.
+    // With a trailing slash it matches all paths below it, else exactly.
     std::string_view path;
     Call call;
   };
@@ -116,7 +116,7 @@
   }
   if (request.body.size() > settings_.max_body_bytes) {
     respond(MakeErrorResponse(http::kPayloadTooLarge, "too_large",
-                              "the body is too large", "body"));
+                              "the request body is too large", "body"));
     return;
   }
   Dispatch(request, respond);
@@ -141,7 +141,7 @@
   }
   if (allowed.empty()) {
     respond(MakeErrorResponse(http::kNotFound, "not_found",
-                              "there is no such page"));
+                              "there is no such resource"));
     return;
   }
   Response response = MakeErrorResponse(http::kMethodNotAllowed,
--- a/src/admin_api/admin_api.h
+++ b/src/admin_api/admin_api.h
@@ -1,5 +1,6 @@
-// The administration API: operators state and read targets, read the status and
-// the burn report, and set the log level. See docs/INTERFACES.md.
+// The administration API: operators read and change the targets of classes,
+// read the status and the burn report, and set the log level. See
+// docs/INTERFACES.md.
 
 #ifndef MEDLARSPREAD_ADMIN_API_ADMIN_API_H_
 #define MEDLARSPREAD_ADMIN_API_ADMIN_API_H_
@@ -17,21 +18,22 @@
 namespace medlarspread::admin_api {
 
 struct AdminSettings {
-  // Empty: every call but the metrics is refused.
+  // The bearer token. If empty, every request except GET /metrics is rejected.
   std::string token;
-  // Bodies of this API are small, below what the listener lets through.
+  // Request bodies of this API are small, so this is below the limit of the
+  // listener.
   std::size_t max_body_bytes = 16 << 10;
 };
 
-// What other parts of the daemon contribute. Called from traffic threads; must
-// not block.
+// Callbacks into other parts of the daemon. Called on traffic threads; must not
+// block.
 struct AdminPorts {
-  // The queues of this daemon as a JSON text.
+  // Returns the state of this daemon's queues as JSON.
   std::function<std::string()> describe_queues;
-  // Answers with the burn report in the format ("json", "text", "html"), or
-  // with an error if there is no such format.
+  // Responds with the burn report in `format` ("json", "text" or "html"), or
+  // with an error if the format is unknown.
   std::function<void(const std::string& format, http::Responder)> report_burn;
-  // The metrics in the text format.
+  // Returns the metrics in the Prometheus text format.
   std::function<std::string()> write_metrics;
 };
 
@@ -44,7 +46,8 @@
            const blackboard::Blackboard& blackboard,
            base::Log log);
 
-  // For the operators' listener; may outlive this object.
+  // Returns the handler for the operators' listener. It may outlive this
+  // object.
   http::Handler handler() const;
 
  private:
--- a/src/admin_api/bearer_token.cc
+++ b/src/admin_api/bearer_token.cc
@@ -1,4 +1,4 @@
-// Comparison in constant time.
+// Constant-time comparison of token hashes.
 
 #include "src/admin_api/bearer_token.h"
 
@@ -29,7 +29,8 @@
   if (token.empty() || !header.starts_with(kScheme)) {
     return false;
   }
-  // Hashes are of one length, so the token's own length does not show either.
+  // Hashes have a fixed length, so the timing doesn't reveal the length of the
+  // token either.
   const std::string_view text(header.data(), header.size());
   const Hash given = HashOf(text.substr(kScheme.size()));
   const Hash wanted = HashOf(token);
--- a/src/admin_api/class_messages.cc
+++ b/src/admin_api/class_messages.cc
@@ -1,4 +1,4 @@
-// Reading and rendering of classes and changes.
+// JSON parsing and rendering of classes and changes.
 
 #include "src/admin_api/class_messages.h"
 
@@ -32,7 +32,7 @@
     "change_id",  "expected_revision", "collection",         "latency_ms",
     "percentile", "coverage",          "coverage_percentile"};
 
-// Reads the fields of one object and remembers the first that is at fault.
+// Reads the fields of a JSON object and records the first invalid one.
 class FieldReader {
  public:
   explicit FieldReader(const value& object) : object_(object) {}
@@ -78,8 +78,8 @@
   std::optional<ChangeInvalid> fault_;
 };
 
-// A number outside the allowed range becomes zero, which is outside as well,
-// because it need not fit a Duration.
+// Numbers far outside the allowed range might not fit into a Duration. They are
+// converted to zero, which is outside the range as well.
 base::Duration ToLatency(double milliseconds) {
   const bool is_small =
       milliseconds >= 0.0 &&
@@ -97,8 +97,8 @@
   return std::nullopt;
 }
 
-// The shortest text that reads back as the same number. The JSON library
-// writes 17 digits, so that a target of 0.98 would not look like one.
+// Returns the shortest decimal text that parses to the same number. The JSON
+// library would print a target of 0.98 with 17 digits.
 std::string NumberText(double number) {
   std::array<char, 32> text{};
   const auto end =
@@ -139,7 +139,7 @@
   http::Response operator()(const targets::ChangeLost& lost) const {
     value object = value::object();
     object["error"] = value::string("conflict");
-    object["detail"] = value::string("another change came first");
+    object["detail"] = value::string("another change was made first");
     object["revision"] = value::number(lost.revision);
     object["winner_change_id"] = value::string(lost.winner_change_id);
     return MakeResponse(http::kConflict, object);
@@ -217,7 +217,7 @@
     constexpr base::Duration kRetryAfter = base::Milliseconds(1000);
     return MakeRefusal(
         base::MakeError(base::ErrorCode::kUnavailable, base::Step::kTargets, "",
-                        "this VM has not learnt the targets yet"),
+                        "this VM has not received the targets yet"),
         kRetryAfter);
   }
   std::string classes;
--- a/src/admin_api/class_messages.h
+++ b/src/admin_api/class_messages.h
@@ -1,4 +1,4 @@
-// The JSON of the calls about classes: what operators send and are answered.
+// Parses requests about classes and renders the JSON responses to them.
 
 #ifndef MEDLARSPREAD_ADMIN_API_CLASS_MESSAGES_H_
 #define MEDLARSPREAD_ADMIN_API_CLASS_MESSAGES_H_
@@ -15,20 +15,21 @@
 using ParsedChange =
     std::variant<targets::TargetsChange, targets::ChangeInvalid>;
 
-// The change that `PUT /v1/classes/NAME` asks for. Ranges are not checked
-// here; a field that is missing, unknown or of the wrong type is named.
+// Parses the body of `PUT /v1/classes/NAME`. Returns ChangeInvalid with the
+// name of the field if one is missing, unknown or of the wrong type. Does not
+// check ranges.
 ParsedChange ParseSetClass(const std::string& name, const std::string& body);
 
-// The change that `DELETE /v1/classes/NAME` asks for.
+// Parses the parameters of `DELETE /v1/classes/NAME`.
 ParsedChange ParseRemoveClass(const std::string& name,
                               const http::Request& request);
 
-// All classes in force, or the one called `name` if that is not empty (404 if
-// there is none). 503 while no targets are known.
+// Renders all classes in force, or only class `name` if that is not empty (404
+// if it does not exist). Returns 503 while no targets are known.
 http::Response RenderClasses(const blackboard::TargetsView& view,
                              const std::string& name);
 
-// The answer to a change.
+// Renders the response to a change.
 http::Response RenderOutcome(const targets::ChangeOutcome& outcome);
 
 }  // namespace medlarspread::admin_api
--- a/src/admin_api/error_response.cc
+++ b/src/admin_api/error_response.cc
@@ -1,4 +1,4 @@
-// Rendering of errors.
+// JSON rendering of errors.
 
 #include "src/admin_api/error_response.h"
 
--- a/src/admin_api/error_response.h
+++ b/src/admin_api/error_response.h
@@ -1,4 +1,4 @@
-// Answers that are errors, in the one form that the API gives them.
+// Builds the error responses of the administration API.
 
 #ifndef MEDLARSPREAD_ADMIN_API_ERROR_RESPONSE_H_
 #define MEDLARSPREAD_ADMIN_API_ERROR_RESPONSE_H_
@@ -11,17 +11,18 @@
 
 namespace medlarspread::admin_api {
 
-// {"error","detail"}, with "field" if it is not empty.
+// Returns a response with the JSON fields "error" and "detail", and "field" if
+// `field` is not empty.
 http::Response MakeErrorResponse(int status,
                                  const std::string& error,
                                  const std::string& detail,
                                  const std::string& field = "");
 
-// 503 with Retry-After: not done, and when to come back.
+// Returns 503 with Retry-After: the request was not executed.
 http::Response MakeRefusal(const base::Error& error,
                            base::Duration retry_after);
 
-// 504: it may have been done.
+// Returns 504: the request may have been executed.
 http::Response MakeUnknown(const base::Error& error);
 
 }  // namespace medlarspread::admin_api
--- a/src/admin_api/status_report.cc
+++ b/src/admin_api/status_report.cc
@@ -1,4 +1,4 @@
-// Builds the status page from the blackboard.
+// Builds the status JSON from the blackboard.
 
 #include "src/admin_api/status_report.h"
 
@@ -44,8 +44,8 @@
   return value::number(number);
 }
 
-// 16 hexadecimal digits, because many readers of JSON lose digits of large
-// numbers.
+// Renders 16 hexadecimal digits, because many JSON parsers lose precision on
+// large integers.
 value Hexadecimal(std::int64_t number) {
   char text[17];
   std::snprintf(text, sizeof(text), "%016llx",
@@ -53,8 +53,8 @@
   return value::string(text);
 }
 
-// The revision that the member has in force; of this daemon the latest, since
-// the membership view may lag behind it.
+// Returns the targets revision in force on `member`. For this daemon it comes
+// from `targets`, because the membership view may be older.
 std::int64_t RevisionOf(const blackboard::Member& member,
                         const blackboard::MembershipView& membership,
                         const blackboard::TargetsView& targets) {
@@ -154,12 +154,12 @@
     AddAlarm(rows, "targets_reverted_in_store",
              "the store holds revision " +
                  std::to_string(*alarms.reverted_store_revision) +
-                 ", which is kept out");
+                 ", which is older and ignored");
   }
   if (!alarms.digest_conflict_with.empty()) {
     AddAlarm(rows, "targets_differ",
              alarms.digest_conflict_with +
-                 " holds other targets under the revision in force");
+                 " has different targets for the revision in force");
   }
   if (!alarms.malformed_record.empty()) {
     AddAlarm(rows, "targets_malformed", alarms.malformed_record);
--- a/src/admin_api/status_report.h
+++ b/src/admin_api/status_report.h
@@ -1,5 +1,5 @@
-// The status page: what this daemon knows of the fleet, the upstreams and the
-// targets, as JSON.
+// Renders the status page: the VMs, upstreams, targets and alarms known to this
+// daemon, as JSON.
 
 #ifndef MEDLARSPREAD_ADMIN_API_STATUS_REPORT_H_
 #define MEDLARSPREAD_ADMIN_API_STATUS_REPORT_H_
@@ -11,9 +11,9 @@
 
 namespace medlarspread::admin_api {
 
-// `queues` is a JSON text that becomes the field of that name; null if it is
-// not valid JSON. A revision counts as in force on a live VM that has it or a
-// higher one.
+// `queues` is JSON that becomes the field "queues"; null if it is invalid. This
+// daemon's revision counts as in force on every live VM that has this revision
+// or a higher one.
 std::string MakeStatusReport(const blackboard::Blackboard& blackboard,
                              const targets::TargetsAlarms& alarms,
                              const std::string& queues);
--- a/tests/admin_api/admin_api_test.cc
+++ b/tests/admin_api/admin_api_test.cc
@@ -1,6 +1,6 @@
-// The administration API's calls against a controller on a store in memory:
-// authorization, routing, errors that name the field, and every outcome of a
-// change.
+// The administration API with a targets controller and an in-memory store:
+// authorization, routing, errors that name the invalid field, and every outcome
+// of a change.
 
 #include "src/admin_api/admin_api.h"
 
@@ -13,8 +13,8 @@
 
 #include "src/admin_api/bearer_token.h"
 
-// NOTE: after gtest, because it defines the macro U, which gtest uses as a
-// name.
+// NOTE: must follow gtest, because it defines the macro U, which gtest uses as
+// an identifier.
 #include <cpprest/json.h>
 
 namespace medlarspread::admin_api {
@@ -27,7 +27,7 @@
 constexpr char kToken[] = "secret";
 constexpr base::Duration kLong = base::Milliseconds(30000);
 
-// One entry, with an outcome for the next write if the test sets one.
+// A store with one entry. Tests can set the result of reads and writes.
 class MemoryStore {
  public:
   explicit MemoryStore(base::TaskRunner runner) : runner_(std::move(runner)) {}
@@ -58,7 +58,8 @@
     return store;
   }
 
-  // What reads fail with, and what writes fail with although they take effect.
+  // If set, the errors that reads and writes return. A write that returns an
+  // error still takes effect.
   std::optional<base::Error> failure;
   std::optional<base::Error> failure_of_writes;
 
@@ -99,7 +100,8 @@
     request.headers["authorization"] = std::string("Bearer ") + kToken;
     return Send(request);
   }
-  // A change with one field replaced by `text`, or left out if that is empty.
+  // Returns a change with one field replaced by `text`, or omitted if `text` is
+  // empty.
   static std::string Body(const std::string& field = "",
                           const std::string& text = "") {
     std::vector<std::pair<std::string, std::string>> fields = {
