--- a/src/metrics/latency_accumulator.cc
+++ b/src/metrics/latency_accumulator.cc
@@ -1,4 +1,4 @@
-// The Boost.Accumulators set behind LatencyAccumulator.
+// Implements LatencyAccumulator with Boost.Accumulators.
 
 #include "src/metrics/latency_accumulator.h"
 
@@ -19,7 +19,7 @@
 // The algorithm keeps 2 n + 3 markers for n quantiles.
 constexpr std::size_t kMarkers = 2 * kQuantiles.size() + 3;
 
-// Up to here the samples themselves are kept.
+// Up to this number of samples, quantiles are computed from the samples.
 constexpr std::size_t kExactSamples = 4 * kMarkers;
 
 }  // namespace
--- a/src/metrics/latency_accumulator.h
+++ b/src/metrics/latency_accumulator.h
@@ -1,6 +1,6 @@
-// Quantiles of a stream of latencies in constant memory, by the extended P2
-// algorithm of Boost.Accumulators. They are estimates, and can't be added up
-// over VMs; the burn report counts exactly instead.
+// Estimates quantiles of a stream of latencies in constant memory with the
+// extended P2 algorithm of Boost.Accumulators. Quantiles can't be aggregated
+// over VMs; the burn report uses exact counts instead.
 
 #ifndef MEDLARSPREAD_METRICS_LATENCY_ACCUMULATOR_H_
 #define MEDLARSPREAD_METRICS_LATENCY_ACCUMULATOR_H_
@@ -12,13 +12,13 @@
 
 namespace medlarspread::metrics {
 
-// The quantiles that are kept, as fractions of 1.
+// The estimated quantiles, as fractions of 1.
 constexpr std::array<double, 4> kQuantiles = {0.5, 0.9, 0.99, 0.999};
 
 // One value per entry of kQuantiles, in seconds.
 using QuantileValues = std::array<double, kQuantiles.size()>;
 
-// Not safe for use from several threads at once.
+// Not thread-safe.
 class LatencyAccumulator {
  public:
   LatencyAccumulator();
@@ -28,16 +28,16 @@
 
   void Add(double seconds);
   std::size_t count() const;
-  // Exact for the first few samples. Zeros if there is none.
+  // Exact for the first few samples. All zero if there are no samples.
   QuantileValues Quantiles() const;
 
  private:
-  // Hides the library's header, which compiles slowly.
+  // Defined in the .cc file, because the Boost header compiles slowly.
   struct Estimator;
 
   std::unique_ptr<Estimator> estimator_;
-  // The first samples: the algorithm has no estimate before it has as many
-  // samples as markers.
+  // The first samples, for exact quantiles: the algorithm has no estimate until
+  // it has as many samples as markers.
   std::vector<double> first_samples_;
 };
 
--- a/src/metrics/latency_histogram.cc
+++ b/src/metrics/latency_histogram.cc
@@ -1,4 +1,4 @@
-// Ranges and their rendering.
+// Bucket counts and their rendering.
 
 #include "src/metrics/latency_histogram.h"
 
--- a/src/metrics/latency_histogram.h
+++ b/src/metrics/latency_histogram.h
@@ -1,5 +1,5 @@
-// Counts latencies in fixed ranges. Unlike quantiles, such counts can be added
-// up over VMs and over time.
+// Histogram of latencies with fixed buckets. Unlike quantiles, bucket counts
+// can be summed over VMs and over time.
 
 #ifndef MEDLARSPREAD_METRICS_LATENCY_HISTOGRAM_H_
 #define MEDLARSPREAD_METRICS_LATENCY_HISTOGRAM_H_
@@ -12,8 +12,9 @@
 
 namespace medlarspread::metrics {
 
-// Upper ends of the ranges, in seconds: narrow where latency targets lie, from
-// 20 ms to half a second. Above the last one there is one more range.
+// Upper bounds of the buckets, in seconds. Buckets are narrow from 20 ms to
+// half a second, where latency targets lie. One more bucket follows the last
+// bound.
 constexpr std::array<double, 14> kHistogramBounds = {
     0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1,
     0.15,  0.2,  0.3,  0.5,  1.0,  2.5,   5.0};
@@ -23,7 +24,7 @@
  public:
   void Observe(base::Duration latency);
 
-  // The lines of the Prometheus text format. `label` is `name="value"`.
+  // Returns the lines in the Prometheus text format. `label` is `name="value"`.
   std::string Render(const std::string& name, const std::string& label) const;
 
  private:
--- a/src/metrics/metric_names.cc
+++ b/src/metrics/metric_names.cc
@@ -16,7 +16,7 @@
   static const Rows<Counter> rows = {
       {Counter::kRequestsInvalid,
        {"medlarspread_requests_invalid_total",
-        "Requests of callers that were malformed or of an unknown class."}},
+        "Caller requests that were malformed or of an unknown class."}},
       {Counter::kRequestsFannedOutForPeers,
        {"medlarspread_requests_fanned_out_for_peers_total",
         "Requests to all shards that other daemons handed over to this one."}},
@@ -25,7 +25,7 @@
         "Shard requests sent to upstreams, second sends included."}},
       {Counter::kUpstreamAnswers,
        {"medlarspread_upstream_answers_total",
-        "Whole answers received from upstreams."}},
+        "Complete answers received from upstreams."}},
       {Counter::kUpstreamRefusals,
        {"medlarspread_upstream_refusals_total",
         "Shard requests that an upstream refused without running them."}},
@@ -34,28 +34,29 @@
         "Shard requests that may have run but gave no usable answer."}},
       {Counter::kUpstreamReplaced,
        {"medlarspread_upstream_replaced_total",
-        "Shard requests that found another upstream at the address than the "
-        "one they were for."}},
+        "Shard requests that reached a different upstream than expected at "
+        "its address."}},
       {Counter::kRepeatsEarned,
        {"medlarspread_repeats_earned_total",
-        "Sends beyond the first of a request to a shard, paid for with what "
-        "requests earned."}},
+        "Extra sends of a shard request, charged to the budget that requests "
+        "earn."}},
       {Counter::kRepeatsSlack,
        {"medlarspread_repeats_slack_total",
-        "Sends beyond the first of a request to a shard, paid for with this "
-        "VM's part of the slack."}},
+        "Extra sends of a shard request, charged to this VM's share of the "
+        "slack."}},
       {Counter::kResendsUnsent,
        {"medlarspread_resends_unsent_total",
-        "Sends in place of one that did not leave this VM; free."}},
+        "Sends that replace one that did not leave this VM; not charged to a "
+        "budget."}},
       {Counter::kLeavesEnded,
        {"medlarspread_leaves_ended_total",
-        "Upstream processes that ended with requests of this VM in work."}},
+        "Upstream processes that ended while they ran requests of this VM."}},
       {Counter::kRequestsConvicted,
        {"medlarspread_requests_convicted_total",
-        "Requests found to end the upstreams that run them."}},
+        "Requests found to crash the upstreams that run them."}},
       {Counter::kRequestsQuarantined,
        {"medlarspread_requests_quarantined_total",
-        "Tries refused since their request ends the upstreams that run it."}},
+        "Attempts refused because their request crashes upstreams."}},
       {Counter::kPeerBytesSent,
        {"medlarspread_peer_sent_bytes_total", "Bytes sent to other daemons."}},
       {Counter::kPeerBytesReceived,
@@ -63,10 +64,11 @@
         "Bytes received from other daemons."}},
       {Counter::kPeerLinksLost,
        {"medlarspread_peer_links_lost_total",
-        "Links to other daemons that were lost."}},
+        "Connections to other daemons that were lost."}},
       {Counter::kStoreCalls,
        {"medlarspread_store_calls_total",
-        "Calls to the platform's key-value service, each watch as one."}},
+        "Calls to the platform's key-value service. A watch counts as one "
+        "call."}},
       {Counter::kStoreFailures,
        {"medlarspread_store_failures_total",
         "Calls to the platform's key-value service without a usable "
@@ -82,7 +84,7 @@
         "Requests answered, partial answers included."}},
       {ClassCounter::kRequestsPartial,
        {"medlarspread_requests_partial_total",
-        "Requests answered with less than the whole key space."}},
+        "Requests answered without covering the whole key space."}},
       {ClassCounter::kRequestsRefused,
        {"medlarspread_requests_refused_total",
         "Requests refused and not run."}},
@@ -97,22 +99,22 @@
   static const Rows<Gauge> rows = {
       {Gauge::kRequestsInFlight,
        {"medlarspread_requests_in_flight",
-        "Requests of callers that are not answered yet."}},
+        "Caller requests that are not answered yet."}},
       {Gauge::kShardRequestsQueued,
        {"medlarspread_shard_requests_queued",
-        "Shard requests that wait for a slot on this VM."}},
+        "Shard requests on this VM that wait for a slot."}},
       {Gauge::kLiveVms,
-       {"medlarspread_live_vms", "VMs of the system believed to be live."}},
+       {"medlarspread_live_vms", "VMs that this VM considers live."}},
       {Gauge::kTargetsRevision,
        {"medlarspread_targets_revision",
         "Revision of the targets in force on this VM."}},
       {Gauge::kStoreEra,
        {"medlarspread_store_era",
-        "How often the store had been restored from a copy, as far as this VM "
-        "knows it."}},
+        "Number of times the store was restored from a backup, as known to "
+        "this VM."}},
       {Gauge::kStoreRevision,
        {"medlarspread_store_revision",
-        "Revision up to which this VM knows the store."}},
+        "Latest store revision known to this VM."}},
   };
   return rows;
 }
@@ -121,7 +123,7 @@
   static const Rows<Distribution> rows = {
       {Distribution::kShardLatency,
        {"medlarspread_shard_latency_seconds",
-        "From the send to an upstream to its answer; quantiles are "
+        "Time from the send to an upstream until its answer; quantiles are "
         "estimates."}},
       {Distribution::kStoreLatency,
        {"medlarspread_store_latency_seconds",
@@ -135,8 +137,8 @@
   static const Rows<ClassDistribution> rows = {
       {ClassDistribution::kRequestLatency,
        {"medlarspread_request_latency_seconds",
-        "From the arrival of a request to its answer, of those answered; "
-        "quantiles are estimates."}},
+        "Time from the arrival of a request until its answer, for answered "
+        "requests; quantiles are estimates."}},
   };
   return rows;
 }
--- a/src/metrics/metric_names.h
+++ b/src/metrics/metric_names.h
@@ -1,5 +1,4 @@
-// All metrics of the daemon and the table of their exposed names. A metric that
-// isn't here doesn't exist.
+// All metrics of the daemon, with their exposed names and help texts.
 
 #ifndef MEDLARSPREAD_METRICS_METRIC_NAMES_H_
 #define MEDLARSPREAD_METRICS_METRIC_NAMES_H_
@@ -8,7 +7,7 @@
 
 namespace medlarspread::metrics {
 
-// Totals that only grow while the process runs.
+// Monotonic counters, reset when the process restarts.
 enum class Counter {
   kRequestsInvalid,
   kRequestsFannedOutForPeers,
@@ -30,7 +29,7 @@
   kStoreFailures,
 };
 
-// Totals per class of work.
+// Counters with the class as a label.
 enum class ClassCounter {
   kRequestsAnswered,
   kRequestsPartial,
@@ -38,7 +37,7 @@
   kRequestsUnknown,
 };
 
-// Values of the moment.
+// Current values.
 enum class Gauge {
   kRequestsInFlight,
   kShardRequestsQueued,
@@ -48,19 +47,19 @@
   kStoreRevision,
 };
 
-// Latencies, in seconds when exposed.
+// Latency distributions, exposed in seconds.
 enum class Distribution {
   kShardLatency,
   kStoreLatency,
 };
 
-// Latencies per class of work.
+// Latency distributions with the class as a label.
 enum class ClassDistribution {
   kRequestLatency,
 };
 
 struct MetricText {
-  // As exposed, with its unit.
+  // The exposed name, including the unit.
   const char* name;
   const char* help;
 };
--- a/src/metrics/process_usage.cc
+++ b/src/metrics/process_usage.cc
@@ -1,4 +1,4 @@
-// Reads the kernel's accounts of this process.
+// Reads resource usage with getrusage() and from /proc.
 
 #include "src/metrics/process_usage.h"
 
--- a/src/metrics/process_usage.h
+++ b/src/metrics/process_usage.h
@@ -1,4 +1,4 @@
-// What this process uses of its VM.
+// CPU time and memory used by this process.
 
 #ifndef MEDLARSPREAD_METRICS_PROCESS_USAGE_H_
 #define MEDLARSPREAD_METRICS_PROCESS_USAGE_H_
@@ -8,12 +8,12 @@
 namespace medlarspread::metrics {
 
 struct ProcessUsage {
-  // User and system time since the start.
+  // User and system CPU time since the process started.
   double cpu_seconds = 0.0;
   std::int64_t resident_bytes = 0;
 };
 
-// A figure that can't be read is 0.
+// Values that can't be read are 0.
 ProcessUsage ReadProcessUsage();
 
 }  // namespace medlarspread::metrics
--- a/src/metrics/registry.cc
+++ b/src/metrics/registry.cc
@@ -1,4 +1,4 @@
-// Counting and rendering of all metrics.
+// Updates and rendering of metrics.
 
 #include "src/metrics/registry.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Classes with series of their own; the rest are counted together.
+// Number of classes with their own time series. All others share one.
 constexpr std::size_t kMaxClasses = 200;
 constexpr const char* kOtherClasses = "(other)";
 
@@ -53,11 +53,12 @@
 
 std::string RenderProcessUsage() {
   const ProcessUsage usage = ReadProcessUsage();
-  return RenderValue({"process_cpu_seconds_total",
-                      "User and system time that this process has used."},
-                     "counter", ShowNumber(usage.cpu_seconds)) +
+  return RenderValue(
+             {"process_cpu_seconds_total",
+              "User and system CPU time used by this process, in seconds."},
+             "counter", ShowNumber(usage.cpu_seconds)) +
          RenderValue({"process_resident_memory_bytes",
-                      "Memory of this process that is resident."},
+                      "Resident memory size of this process, in bytes."},
                      "gauge", std::to_string(usage.resident_bytes));
 }
 
@@ -149,7 +150,7 @@
   const std::lock_guard lock(mutex_);
   constexpr MetricText kHistogram = {
       "medlarspread_request_duration_seconds",
-      "Time from a caller's request to its answer, counted in ranges."};
+      "Time from a caller's request until its answer, as a histogram."};
   if (!request_histograms_.empty()) {
     text += Header(kHistogram, "histogram");
   }
--- a/src/metrics/registry.h
+++ b/src/metrics/registry.h
@@ -1,5 +1,5 @@
-// Holds the values of all metrics of the daemon and renders them as text for
-// GET /metrics.
+// Holds the values of all metrics of the daemon and renders them for GET
+// /metrics.
 
 #ifndef MEDLARSPREAD_METRICS_REGISTRY_H_
 #define MEDLARSPREAD_METRICS_REGISTRY_H_
@@ -19,7 +19,7 @@
 
 namespace medlarspread::metrics {
 
-// Safe to use from any thread.
+// Thread-safe.
 class Registry {
  public:
   explicit Registry(base::Clock clock);
@@ -34,25 +34,27 @@
                const std::string& class_name,
                base::Duration latency);
 
-  // The usual text exposition format, version 0.0.4.
+  // Renders the Prometheus text exposition format, version 0.0.4.
   std::string Render();
 
  private:
   using ClassCounterKey = std::pair<ClassCounter, std::string>;
   using ClassDistributionKey = std::pair<ClassDistribution, std::string>;
 
-  // The name under which a class is counted: classes come and go, and the
-  // number of series must stay bounded. Call with the mutex held.
+  // Returns the label value for a class. Once kMaxClasses have been seen, new
+  // classes share one label, because classes are added and removed and the
+  // number of time series must stay bounded. Call with the mutex held.
   const std::string& BoundedName(const std::string& class_name);
   void RenderClassMetrics(std::string& text);
 
   const base::Clock clock_;
-  // The sets of keys never change after construction.
+  // Invariant: no keys are added or removed after construction.
   std::map<Counter, std::atomic<std::int64_t>> counters_;
   std::map<Gauge, std::atomic<std::int64_t>> gauges_;
   std::map<Distribution, std::unique_ptr<WindowedDistribution>> distributions_;
 
-  // Guards what follows. Distributions stay where they are once made.
+  // Guards the members below. Distributions are never removed or replaced, so
+  // they may be used without the mutex.
   std::mutex mutex_;
   std::map<std::string, std::string> class_names_;
   std::map<ClassCounterKey, std::int64_t> class_counters_;
--- a/src/metrics/windowed_distribution.cc
+++ b/src/metrics/windowed_distribution.cc
@@ -37,7 +37,7 @@
   if (age < kRotation) {
     return;
   }
-  // After two minutes without a call even the younger one is too old.
+  // After two minutes without a call the younger one is too old as well.
   older_ = age < 2 * kRotation ? std::move(younger_) : LatencyAccumulator();
   younger_ = LatencyAccumulator();
   younger_since_ = now;
--- a/src/metrics/windowed_distribution.h
+++ b/src/metrics/windowed_distribution.h
@@ -1,6 +1,7 @@
-// Quantiles of recent latencies. Two accumulators take every sample; each
-// minute the older one, which is the one reported, gives way to the younger. So
-// a report covers the last one to two minutes.
+// Quantiles of recent latencies. Every sample is added to two accumulators, of
+// which the older one is reported. Each minute the younger one replaces the
+// older one and a new one is started, so a report covers the last one to two
+// minutes.
 
 #ifndef MEDLARSPREAD_METRICS_WINDOWED_DISTRIBUTION_H_
 #define MEDLARSPREAD_METRICS_WINDOWED_DISTRIBUTION_H_
@@ -21,7 +22,7 @@
   double sum_seconds = 0.0;
 };
 
-// Safe to use from any thread.
+// Thread-safe.
 class WindowedDistribution {
  public:
   explicit WindowedDistribution(base::Clock clock);
@@ -30,15 +31,15 @@
   DistributionSummary Summarize();
 
  private:
-  // Drops what is too old. Call with the mutex held.
+  // Replaces accumulators that are too old. Call with the mutex held.
   void Rotate();
 
   const base::Clock clock_;
   std::mutex mutex_;
-  // Invariant: `older_` has seen every sample that `younger_` has.
+  // Invariant: `older_` contains every sample that `younger_` contains.
   LatencyAccumulator older_;
   LatencyAccumulator younger_;
-  // When `younger_` was begun.
+  // When `younger_` was started.
   base::MonotonicTime younger_since_;
   std::int64_t count_ = 0;
   double sum_seconds_ = 0.0;
--- a/tests/metrics/latency_histogram_test.cc
+++ b/tests/metrics/latency_histogram_test.cc
@@ -1,4 +1,4 @@
-// LatencyHistogram: cumulative ranges.
+// LatencyHistogram: cumulative bucket counts.
 
 #include "src/metrics/latency_histogram.h"
 
--- a/tests/metrics/registry_test.cc
+++ b/tests/metrics/registry_test.cc
@@ -1,5 +1,5 @@
-// Counting from many threads, the windows of distributions, the error of the
-// quantile estimates, and the exposed text.
+// Concurrent counting, rotation of distributions, the error of the quantile
+// estimates, and the rendered text.
 
 #include <algorithm>
 #include <random>
@@ -87,7 +87,7 @@
   EXPECT_DOUBLE_EQ(distribution.Summarize().quantiles[0], 9.0);
   time_->Advance(std::chrono::seconds(2));
   distribution.Observe(base::Milliseconds(1));
-  // The report now begins with what the younger one saw, which is all.
+  // The younger accumulator, now reported, has all samples.
   EXPECT_DOUBLE_EQ(distribution.Summarize().quantiles[3], 9.0);
   time_->Advance(std::chrono::seconds(61));
   EXPECT_DOUBLE_EQ(distribution.Summarize().quantiles[3], 0.001);
