--- a/src/cli/admin_client.cc
+++ b/src/cli/admin_client.cc
@@ -19,10 +19,10 @@
 constexpr int kMaxTimeoutMilliseconds = 600000;
 
 // Returns the option if given, else the environment variable, else "".
-std::string Find(const Environment& environment,
-                 const cxxopts::ParseResult& arguments,
-                 const char* option,
-                 const char* variable) {
+std::string OptionOrVariable(const Environment& environment,
+                             const cxxopts::ParseResult& arguments,
+                             const char* option,
+                             const char* variable) {
   if (arguments.count(option) > 0) {
     return arguments[option].as<std::string>();
   }
@@ -49,12 +49,13 @@
     const Environment& environment,
     const cxxopts::ParseResult& arguments) {
   std::string address =
-      Find(environment, arguments, "address", kAddressVariable);
+      OptionOrVariable(environment, arguments, "address", kAddressVariable);
   if (address.empty()) {
     environment.error << "give --address or set " << kAddressVariable << "\n";
     return std::nullopt;
   }
-  std::string token = Find(environment, arguments, "token", kTokenVariable);
+  std::string token =
+      OptionOrVariable(environment, arguments, "token", kTokenVariable);
   if (token.empty()) {
     environment.error << "set " << kTokenVariable << " or give --token\n";
     return std::nullopt;
--- a/src/cli/change_sender.cc
+++ b/src/cli/change_sender.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int kAttempts = 5;
-constexpr base::Duration kFirstPause = base::Milliseconds(200);
+constexpr int kMaxAttempts = 5;
+constexpr base::Duration kInitialRetryDelay = base::Milliseconds(200);
 constexpr int kChangeIdDigits = 16;
 
 const char* OutcomeName(ReplyKind kind) {
@@ -56,7 +56,7 @@
   // Printed before sending: if this command is interrupted, the identifier is
   // needed to repeat the change.
   environment_.error << "change id: " << change_id << "\n";
-  const auto reply = SendUntilSettled(request);
+  const auto reply = SendUntilOutcomeKnown(request);
   const ReplyKind kind = KindOf(reply);
   if (is_json) {
     environment_.out << RenderOutcome(change_id, reply);
@@ -77,29 +77,29 @@
   return ExitCodeOf(kind);
 }
 
-base::Result<http::Response> ChangeSender::SendUntilSettled(
+base::Result<http::Response> ChangeSender::SendUntilOutcomeKnown(
     const http::Request& request) const {
   // 1. A reply of 200 or 409 determines the outcome of the change.
   // 2. After an attempt with an unknown outcome, a later attempt that fails or
   //    is refused does not reveal whether the first one took effect: the
   //    outcome stays unknown.
-  base::Result<http::Response> unsettled = client_.Send(request);
-  base::Duration pause = kFirstPause;
+  base::Result<http::Response> first_reply = client_.Send(request);
+  base::Duration retry_delay = kInitialRetryDelay;
   for (int attempt = 1;
-       attempt < kAttempts && KindOf(unsettled) == ReplyKind::kUnknown;
+       attempt < kMaxAttempts && KindOf(first_reply) == ReplyKind::kUnknown;
        ++attempt) {
-    environment_.error << DescribeReply(unsettled) << "; retrying\n";
-    environment_.sleep(pause);
-    pause *= 2;
+    environment_.error << DescribeReply(first_reply) << "; retrying\n";
+    environment_.sleep(retry_delay);
+    retry_delay *= 2;
     auto reply = client_.Send(request);
-    const bool is_settled =
+    const bool is_outcome_known =
         reply.is_ok() && (reply.value().status == http::kOk ||
                           reply.value().status == http::kConflict);
-    if (is_settled) {
+    if (is_outcome_known) {
       return reply;
     }
   }
-  return unsettled;
+  return first_reply;
 }
 
 }  // namespace medlarspread::cli
--- a/src/cli/change_sender.h
+++ b/src/cli/change_sender.h
@@ -31,7 +31,7 @@
  private:
   // Returns the first reply that determines the outcome. If no attempt gets
   // one, returns the reply to the first attempt.
-  base::Result<http::Response> SendUntilSettled(
+  base::Result<http::Response> SendUntilOutcomeKnown(
       const http::Request& request) const;
 
   const Environment& environment_;
--- a/src/cli/class_set_command.cc
+++ b/src/cli/class_set_command.cc
@@ -142,7 +142,7 @@
     ReportFailure(environment_, reply);
     return std::nullopt;
   }
-  auto targets = MakeChangeFromAnswer(reply.value().body, name);
+  auto targets = MakeChangeFromResponse(reply.value().body, name);
   if (!targets) {
     environment_.error << "the daemon's answer can't be read\n";
   }
--- a/src/cli/class_targets_text.cc
+++ b/src/cli/class_targets_text.cc
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-std::optional<std::string> MakeChangeFromAnswer(const std::string& answer,
-                                                const std::string& name) {
+std::optional<std::string> MakeChangeFromResponse(const std::string& response,
+                                                  const std::string& name) {
   try {
-    const value root = value::parse(answer);
+    const value root = value::parse(response);
     for (const value& row : root.at("classes").as_array()) {
       if (row.at("name").as_string() != name) {
         continue;
--- a/src/cli/class_targets_text.h
+++ b/src/cli/class_targets_text.h
@@ -10,10 +10,10 @@
 namespace medlarspread::cli {
 
 // Returns the body of a change that keeps the targets of class `name` in
-// `answer` and expects the revision in `answer`. Returns nullopt if `answer` is
-// not a valid response to GET /v1/classes/NAME.
-std::optional<std::string> MakeChangeFromAnswer(const std::string& answer,
-                                                const std::string& name);
+// `response` and expects the revision in `response`. Returns nullopt if
+// `response` is not a valid response to GET /v1/classes/NAME.
+std::optional<std::string> MakeChangeFromResponse(const std::string& response,
+                                                  const std::string& name);
 
 }  // namespace medlarspread::cli
 
--- a/src/cli/json_text.cc
+++ b/src/cli/json_text.cc
@@ -29,7 +29,7 @@
   }
 }
 
-std::string ShowScalar(const value& scalar) {
+std::string FormatScalar(const value& scalar) {
   if (scalar.is_string()) {
     return scalar.as_string();
   }
@@ -55,21 +55,21 @@
 }
 
 // Renders a table cell: objects as "name=value", arrays separated by commas.
-std::string ShowCell(const value& cell) {
+std::string FormatCell(const value& cell) {
   std::string text;
   if (cell.is_object()) {
     for (const auto& [name, field] : cell.as_object()) {
-      text += (text.empty() ? "" : " ") + name + "=" + ShowCell(field);
+      text += (text.empty() ? "" : " ") + name + "=" + FormatCell(field);
     }
     return text.empty() ? "-" : text;
   }
   if (cell.is_array()) {
     for (const value& item : cell.as_array()) {
-      text += (text.empty() ? "" : ", ") + ShowCell(item);
+      text += (text.empty() ? "" : ", ") + FormatCell(item);
     }
     return text.empty() ? "-" : text;
   }
-  text = ShowScalar(cell);
+  text = FormatScalar(cell);
   return text.empty() ? "-" : text;
 }
 
@@ -115,7 +115,7 @@
     std::vector<std::string> line;
     line.reserve(columns.size());
     for (const std::string& column : columns) {
-      line.push_back(row.has_field(column) ? ShowCell(row.at(column)) : "-");
+      line.push_back(row.has_field(column) ? FormatCell(row.at(column)) : "-");
     }
     lines.push_back(std::move(line));
   }
@@ -129,7 +129,7 @@
   for (const auto& [name, field] : fields) {
     text += std::string(indent, ' ') + name + ":";
     text += IsBlock(field) ? "\n" + RenderValue(field, indent + kIndent)
-                           : " " + ShowScalar(field) + "\n";
+                           : " " + FormatScalar(field) + "\n";
   }
   return text;
 }
@@ -141,7 +141,7 @@
   if (IsTable(root)) {
     return RenderTable(root.as_array(), indent);
   }
-  return std::string(indent, ' ') + ShowScalar(root) + "\n";
+  return std::string(indent, ' ') + FormatScalar(root) + "\n";
 }
 
 }  // namespace
@@ -167,7 +167,7 @@
     at = &at->as_object().at(name);
     start = end + 1;
   }
-  return ShowScalar(*at);
+  return FormatScalar(*at);
 }
 
 std::string RenderJson(const std::string& json) {
