--- a/src/admin_api/class_messages.cc
+++ b/src/admin_api/class_messages.cc
@@ -152,10 +152,10 @@
                              fault.field);
   }
   http::Response operator()(const targets::ChangeRefused& refused) const {
-    return MakeRefusal(refused.error, refused.retry_after);
+    return MakeRefusedResponse(refused.error, refused.retry_after);
   }
   http::Response operator()(const targets::ChangeUnknown& unknown) const {
-    return MakeUnknown(unknown.error);
+    return MakeUnknownOutcomeResponse(unknown.error);
   }
 };
 
@@ -215,7 +215,7 @@
                              const std::string& name) {
   if (view.digest == 0) {
     constexpr base::Duration kRetryAfter = base::Milliseconds(1000);
-    return MakeRefusal(
+    return MakeRefusedResponse(
         base::MakeError(base::ErrorCode::kUnavailable, base::Step::kTargets, "",
                         "this VM has not received the targets yet"),
         kRetryAfter);
--- a/src/admin_api/error_response.cc
+++ b/src/admin_api/error_response.cc
@@ -40,8 +40,8 @@
   return response;
 }
 
-http::Response MakeRefusal(const base::Error& error,
-                           base::Duration retry_after) {
+http::Response MakeRefusedResponse(const base::Error& error,
+                                   base::Duration retry_after) {
   const auto milliseconds =
       std::chrono::ceil<std::chrono::milliseconds>(retry_after);
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(retry_after);
@@ -55,7 +55,7 @@
   return response;
 }
 
-http::Response MakeUnknown(const base::Error& error) {
+http::Response MakeUnknownOutcomeResponse(const base::Error& error) {
   http::Response response;
   response.status = http::kGatewayTimeout;
   response.body = DescribeError("unknown", error).serialize();
--- a/src/admin_api/error_response.h
+++ b/src/admin_api/error_response.h
@@ -19,11 +19,11 @@
                                  const std::string& field = "");
 
 // Returns 503 with Retry-After: the request was not executed.
-http::Response MakeRefusal(const base::Error& error,
-                           base::Duration retry_after);
+http::Response MakeRefusedResponse(const base::Error& error,
+                                   base::Duration retry_after);
 
 // Returns 504: the request may have been executed.
-http::Response MakeUnknown(const base::Error& error);
+http::Response MakeUnknownOutcomeResponse(const base::Error& error);
 
 }  // namespace medlarspread::admin_api
 
