--- a/src/cli/admin_client.cc
+++ b/src/cli/admin_client.cc
@@ -1,4 +1,4 @@
-// Options and headers of calls to the administration API.
+// Options, authentication and requests of AdminClient.
 
 #include "src/cli/admin_client.h"
 
@@ -13,15 +13,16 @@
 
 constexpr const char* kAddressVariable = "MEDLARSPREAD_ADDRESS";
 constexpr const char* kTokenVariable = "MEDLARSPREAD_TOKEN";
-// Longer than a daemon takes at most to settle a change.
+// In milliseconds. Longer than the longest time in which a daemon completes a
+// change.
 constexpr const char* kDefaultTimeout = "8000";
 constexpr int kMaxTimeoutMilliseconds = 600000;
 
-// The option if given, else the environment variable.
-std::string Find(const Environment& environment,
-                 const cxxopts::ParseResult& arguments,
-                 const char* option,
-                 const char* variable) {
+// Returns the option if given, else the environment variable, else "".
+std::string OptionOrVariable(const Environment& environment,
+                             const cxxopts::ParseResult& arguments,
+                             const char* option,
+                             const char* variable) {
   if (arguments.count(option) > 0) {
     return arguments[option].as<std::string>();
   }
@@ -39,7 +40,7 @@
       "The operators' token (better: set MEDLARSPREAD_TOKEN, as other users of "
       "the VM can see arguments)",
       cxxopts::value<std::string>(),
-      "TOKEN")("timeout-ms", "How long to wait for each answer",
+      "TOKEN")("timeout-ms", "Timeout of each request, in milliseconds",
                cxxopts::value<int>()->default_value(kDefaultTimeout),
                "N")("json", "Print JSON");
 }
@@ -48,12 +49,13 @@
     const Environment& environment,
     const cxxopts::ParseResult& arguments) {
   std::string address =
-      Find(environment, arguments, "address", kAddressVariable);
+      OptionOrVariable(environment, arguments, "address", kAddressVariable);
   if (address.empty()) {
     environment.error << "give --address or set " << kAddressVariable << "\n";
     return std::nullopt;
   }
-  std::string token = Find(environment, arguments, "token", kTokenVariable);
+  std::string token =
+      OptionOrVariable(environment, arguments, "token", kTokenVariable);
   if (token.empty()) {
     environment.error << "set " << kTokenVariable << " or give --token\n";
     return std::nullopt;
--- a/src/cli/class_targets_text.cc
+++ b/src/cli/class_targets_text.cc
@@ -1,4 +1,4 @@
-// Picks the fields that a change may hold.
+// Copies the fields that a change may contain.
 
 #include "src/cli/class_targets_text.h"
 
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-std::optional<std::string> MakeChangeFromAnswer(const std::string& answer,
-                                                const std::string& name) {
+std::optional<std::string> MakeChangeFromResponse(const std::string& response,
+                                                  const std::string& name) {
   try {
-    const value root = value::parse(answer);
+    const value root = value::parse(response);
     for (const value& row : root.at("classes").as_array()) {
       if (row.at("name").as_string() != name) {
         continue;
@@ -32,7 +32,7 @@
       return change.serialize();
     }
   } catch (const std::exception&) {
-    // Not JSON, or a field is missing: the caller says so.
+    // Not JSON, or a field is missing: the caller reports the error.
   }
   return std::nullopt;
 }
--- a/src/cli/class_targets_text.h
+++ b/src/cli/class_targets_text.h
@@ -1,5 +1,5 @@
-// Reads a class's targets from an answer of the administration API, as the
-// start of a change to them.
+// Converts the targets of a class, as the administration API returns them, into
+// the request body of a change.
 
 #ifndef MEDLARSPREAD_CLI_CLASS_TARGETS_TEXT_H_
 #define MEDLARSPREAD_CLI_CLASS_TARGETS_TEXT_H_
@@ -9,11 +9,11 @@
 
 namespace medlarspread::cli {
 
-// The targets of class `name` and the revision they were read at, as the body
-// of a change that expects this revision. Nothing if `answer` is no answer to
-// GET /v1/classes/NAME.
-std::optional<std::string> MakeChangeFromAnswer(const std::string& answer,
-                                                const std::string& name);
+// Returns the body of a change that keeps the targets of class `name` in
+// `response` and expects the revision in `response`. Returns nullopt if
+// `response` is not a valid response to GET /v1/classes/NAME.
+std::optional<std::string> MakeChangeFromResponse(const std::string& response,
+                                                  const std::string& name);
 
 }  // namespace medlarspread::cli
 
--- a/src/cli/json_text.cc
+++ b/src/cli/json_text.cc
@@ -1,4 +1,4 @@
-// Rendering of JSON as aligned text.
+// Renders JSON as aligned text.
 
 #include "src/cli/json_text.h"
 
@@ -29,11 +29,11 @@
   }
 }
 
-std::string ShowScalar(const value& scalar) {
+std::string FormatScalar(const value& scalar) {
   if (scalar.is_string()) {
     return scalar.as_string();
   }
-  // The library writes 0.98 with 17 digits.
+  // The JSON library would print 0.98 with 17 digits.
   if (scalar.is_double() && std::isfinite(scalar.as_double())) {
     return base::JsonNumber(scalar.as_double());
   }
@@ -49,31 +49,32 @@
                      [](const value& row) { return row.is_object(); });
 }
 
-// A nested object or a table gets lines of its own; all else fits on one.
+// Whether `field` is rendered on several lines: non-empty objects and tables.
 bool IsBlock(const value& field) {
   return (field.is_object() && field.size() > 0) || IsTable(field);
 }
 
-// A value inside a table: nested objects as "name=value", lists with commas.
-std::string ShowCell(const value& cell) {
+// Renders a table cell: objects as "name=value", arrays separated by commas.
+std::string FormatCell(const value& cell) {
   std::string text;
   if (cell.is_object()) {
     for (const auto& [name, field] : cell.as_object()) {
-      text += (text.empty() ? "" : " ") + name + "=" + ShowCell(field);
+      text += (text.empty() ? "" : " ") + name + "=" + FormatCell(field);
     }
     return text.empty() ? "-" : text;
   }
   if (cell.is_array()) {
     for (const value& item : cell.as_array()) {
-      text += (text.empty() ? "" : ", ") + ShowCell(item);
+      text += (text.empty() ? "" : ", ") + FormatCell(item);
     }
     return text.empty() ? "-" : text;
   }
-  text = ShowScalar(cell);
+  text = FormatScalar(cell);
   return text.empty() ? "-" : text;
 }
 
-// The columns of a table: "name" first, then the others in order of the rows.
+// Returns the columns of a table: "name" first, then the others in the order in
+// which the rows contain them.
 std::vector<std::string> ColumnsOf(const web::json::array& rows) {
   std::vector<std::string> columns;
   for (const value& row : rows) {
@@ -114,7 +115,7 @@
     std::vector<std::string> line;
     line.reserve(columns.size());
     for (const std::string& column : columns) {
-      line.push_back(row.has_field(column) ? ShowCell(row.at(column)) : "-");
+      line.push_back(row.has_field(column) ? FormatCell(row.at(column)) : "-");
     }
     lines.push_back(std::move(line));
   }
@@ -128,7 +129,7 @@
   for (const auto& [name, field] : fields) {
     text += std::string(indent, ' ') + name + ":";
     text += IsBlock(field) ? "\n" + RenderValue(field, indent + kIndent)
-                           : " " + ShowScalar(field) + "\n";
+                           : " " + FormatScalar(field) + "\n";
   }
   return text;
 }
@@ -140,7 +141,7 @@
   if (IsTable(root)) {
     return RenderTable(root.as_array(), indent);
   }
-  return std::string(indent, ' ') + ShowScalar(root) + "\n";
+  return std::string(indent, ' ') + FormatScalar(root) + "\n";
 }
 
 }  // namespace
@@ -166,7 +167,7 @@
     at = &at->as_object().at(name);
     start = end + 1;
   }
-  return ShowScalar(*at);
+  return FormatScalar(*at);
 }
 
 std::string RenderJson(const std::string& json) {
