--- a/src/store/follower.cc
+++ b/src/store/follower.cc
@@ -266,11 +266,12 @@
   if (before == 0) {
     return;
   }
-  log_.Write({.level = base::LogLevel::kWarning,
-              .step = Step::kReadStore,
-              .message = "the store was restored from a backup: era " +
-                         std::to_string(era) + " after " +
-                         std::to_string(before)});
+  log_.Write(
+      {.level = base::LogLevel::kWarning,
+       .step = Step::kReadStore,
+       .message = "continues with the restored store and delays removals: "
+                  "era " +
+                  std::to_string(era) + " after " + std::to_string(before)});
   DelayRemovals();
 }
 
