--- a/src/daemon/store_controllers.cc
+++ b/src/daemon/store_controllers.cc
@@ -105,7 +105,7 @@
           blackboard,
           log)),
       event_log_(clock.Now().microseconds),
-      news_(std::make_shared<relay::UpdateReader>(
+      update_reader_(std::make_shared<relay::UpdateReader>(
           relay::UpdateReaderSettings{
               {settings.vm.name, settings.vm.failure_domain,
                ParseAddresses(settings.peers.seeds)},
@@ -121,16 +121,18 @@
           blackboard,
           [this] { DidRestoreStore(); },
           log)),
-      news_server_(std::make_shared<relay::UpdateServer>(
+      update_server_(std::make_shared<relay::UpdateServer>(
           event_log_,
           control,
-          [news = news_] { return news->freshness(); },
+          [update_reader = update_reader_] {
+            return update_reader->freshness();
+          },
           [this](const std::string& entry) {
             registration_->DidHearFollower(entry);
           })),
       peer_listener_(MakePeerListener(context,
                                       settings.peers.address,
-                                      news_server_,
+                                      update_server_,
                                       clock)),
       registration_(std::make_shared<membership::LeaseRegistration>(
           membership::LeaseRegistrationSettings{},
@@ -139,12 +141,14 @@
           control,
           store,
           blackboard,
-          [news = news_] { return news->is_reading_store(); },
-          [news = news_](const base::Status& renewed) {
+          [update_reader = update_reader_] {
+            return update_reader->is_reading_store();
+          },
+          [update_reader = update_reader_](const base::Status& renewed) {
             if (renewed.is_ok()) {
-              news->DidRenew();
+              update_reader->DidRenew();
             } else {
-              news->DidFailToRenew(renewed.error());
+              update_reader->DidFailToRenew(renewed.error());
             }
           },
           log)),
@@ -153,7 +157,7 @@
           clock,
           std::move(random),
           control,
-          news_->source(),
+          update_reader_->source(),
           [this](const store::Position& position) {
             event_log_.DidList(position);
           },
@@ -198,7 +202,7 @@
   registration_->Publish();
   CheckReadiness();
   event_log_.Append(events);
-  news_server_->DidAppend();
+  update_server_->DidAppend();
 }
 
 void StoreControllers::DidReach(const store::Position& position) {
@@ -207,7 +211,7 @@
   blackboard_.store.Write(event_log_.position());
   if (is_restored) {
     // Tells the followers of the new era even if no key has changed.
-    news_server_->DidAppend();
+    update_server_->DidAppend();
   }
 }
 
@@ -243,9 +247,9 @@
                            "keeping the last one"});
     return;
   }
-  const auto freshness = news_->freshness();
+  const auto freshness = update_reader_->freshness();
   const targets::RoutesOrigin origin{
-      event.position(), news_->DescribeSource(),
+      event.position(), update_reader_->DescribeSource(),
       freshness ? std::optional(freshness->age) : std::nullopt};
   if (routes_.DidRead(platform::DecodeConfiguration(*event.value), origin)) {
     leaves_.SetConnections(blackboard_.routes.Read()->connections);
--- a/src/daemon/store_controllers.h
+++ b/src/daemon/store_controllers.h
@@ -47,7 +47,7 @@
   void Stop();
   // Called with the era (see store::Position) that any answer of the store
   // names.
-  void DidSeeEra(std::int64_t era) { news_->DidSeeEra(era); }
+  void DidSeeEra(std::int64_t era) { update_reader_->DidSeeEra(era); }
   quarantine::VerdictController& verdicts() { return *verdicts_; }
 
  private:
@@ -72,8 +72,8 @@
   const std::shared_ptr<quarantine::VerdictController> verdicts_;
   // The changes that this daemon has seen, for the peers that follow it.
   store::EventLog event_log_;
-  const std::shared_ptr<relay::UpdateReader> news_;
-  const std::shared_ptr<relay::UpdateServer> news_server_;
+  const std::shared_ptr<relay::UpdateReader> update_reader_;
+  const std::shared_ptr<relay::UpdateServer> update_server_;
   const std::shared_ptr<http1::CallerListener> peer_listener_;
   const std::shared_ptr<membership::LeaseRegistration> registration_;
   const std::shared_ptr<store::Follower> follower_;
