--- a/src/daemon/opaque_daemon.h
+++ b/src/daemon/opaque_daemon.h
@@ -89,8 +89,7 @@
   // The steps of a graceful shutdown:
   //   1. Report not ready; each answer now closes its connection.
   //   2. Once the load balancer has had time to move the callers elsewhere,
-  //   stop
-  //      accepting connections and close those that have no request.
+  //      stop accepting connections and close those that have no request.
   //   3. End when no request is left, or shortly before the shutdown timeout.
   void StartGracefulStop();
   void CloseCallers();
