--- a/src/daemon/store_controllers.h
+++ b/src/daemon/store_controllers.h
@@ -45,8 +45,8 @@
   // Called on the control thread.
   void Start();
   void Stop();
-  // Called with the era (see store::Position) that any answer of the store
-  // names.
+  // Called with the era (see store::Position) that an answer of the store
+  // contains.
   void DidSeeEra(std::int64_t era) { update_reader_->DidSeeEra(era); }
   quarantine::VerdictController& verdicts() { return *verdicts_; }
 
--- a/src/membership/lease_registration.h
+++ b/src/membership/lease_registration.h
@@ -53,8 +53,8 @@
   // respond. A renewal costs a tenth of a store call.
   base::Duration reader_renewal_interval = base::Milliseconds(1'000);
   // A daemon registers after this delay divided by its VM's number of cores.
-  // Half a core is 1.9 s ahead of an eighth of a core, enough to register and
-  // to list the smaller one.
+  // A daemon with half a core registers 1.9 s before one with an eighth of a
+  // core, which leaves it enough time to list the smaller one.
   base::Duration base_delay = base::Milliseconds(300);
   // A daemon on a small VM registers itself if it has not been listed for this
   // time.
--- a/src/query/forward_service.h
+++ b/src/query/forward_service.h
@@ -107,7 +107,7 @@
     int requests = 0;
     // Keyed by the first collection that the requests go to.
     std::map<std::string, admission::BacklogGate> gates;
-    // The ticket of the last request that entered a gate.
+    // The sequence number of the last request that entered a backlog gate.
     std::uint64_t tickets = 0;
     // Parts of other daemons' requests, keyed by request identifier.
     std::map<std::string, std::weak_ptr<FanOutSession>> parts_for_peers;
--- a/src/routing/shard_job.h
+++ b/src/routing/shard_job.h
@@ -41,8 +41,8 @@
   bool is_backing_off = false;
   // A second send to another region that has not answered yet.
   bool is_forwarded = false;
-  // Set once an attempt ended without a reply that rules out that the request
-  // ran.
+  // Set once an attempt has ended without a reply that shows that the request
+  // was not executed.
   bool may_have_run = false;
   base::Error last_error;
   base::Duration retry_after{};
--- a/src/routing/shard_load_estimator.h
+++ b/src/routing/shard_load_estimator.h
@@ -33,7 +33,7 @@
   void DidTakeAtLeast(const std::string& leaf, base::Duration time);
 
   // The load that a new request of the same class as `request` would meet. The
-  // expected wait stays zero under policies without an entry gate.
+  // expected wait stays zero under policies that do not report it.
   ShardLoad LoadOf(const ShardRequest& request);
 
  private:
--- a/src/routing/shard_request.h
+++ b/src/routing/shard_request.h
@@ -54,7 +54,7 @@
   int slots = 0;
   // Expected wait of a new request of the same class.
   base::Duration expected_wait{};
-  // How much longer even the least slow replica takes than is typical for the
+  // How much longer the fastest replica takes than is typical for the
   // collection; zero if it is not notably slower.
   base::Duration service_excess{};
 };
--- a/src/upstream/forward_port.h
+++ b/src/upstream/forward_port.h
@@ -52,7 +52,7 @@
   std::string proof;
   // From the send, connecting included, to the reply.
   base::Duration service_time{};
-  // After what time the leaf asks for a retry; zero if it names none.
+  // The retry delay that the leaf asks for; zero if it names none.
   base::Duration retry_after{};
   // A peer's answer to a probe: the number of shards of the part that are still
   // missing. Absent if the peer is not working on such a part.
