--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -162,7 +162,7 @@
           outcome[me] = 0
         };
         if
-        :: atomic {                   /* Bucket::Read and Adopt */
+        :: atomic {                   /* Bucket::Read, MergeStored */
              known_version = version;
              known_record = recorded;
              if
